--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -7,7 +7,7 @@
 from sedgeshunt.groups.successors import covers
 from sedgeshunt.identifiers import CopyPlace, Monotonic, Seconds
 from sedgeshunt.ownership.records import GroupRecords
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.directory import GroupMembers, list_places
 
 # A target that is replaced is listed again within seconds, one that is cut
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         records: GroupRecords,
         connector: TargetSessionConnector,
     ) -> None:
--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -17,7 +17,7 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds
 from sedgeshunt.ownership.claims import GroupClaim
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.requests.outcome import Answer, Cause, NotRun, Refusal
 from sedgeshunt.statements.call import Access, StatementCall
 
@@ -88,7 +88,7 @@
             )
         return await self.owner.run_call(call, book, deadline)
 
-    async def _serve(self, reign: Reign) -> None:
+    async def _serve(self, reign: GroupOwnership) -> None:
         state = PrimaryState(self.group)
         owner = GroupOwner(
             reign,
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -21,7 +21,7 @@
 )
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds, TransactionId
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.requests.outcome import (
     Answer,
     Cause,
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         state: PrimaryState,
         keeper: PrimaryKeeper,
         freshness: FreshnessProof,
--- a/src/sedgeshunt/execution/keeper_parts.py
+++ b/src/sedgeshunt/execution/keeper_parts.py
@@ -9,7 +9,7 @@
 from sedgeshunt.execution.replacement import PrimaryReplacement
 from sedgeshunt.identifiers import GroupId, ProxyId, TargetId
 from sedgeshunt.ownership.records import GroupRecords
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.configuration import LiveConfiguration
 
 
@@ -42,7 +42,7 @@
     def tell(
         self,
         kind: DecisionKind,
-        reign: Reign,
+        reign: GroupOwnership,
         target: TargetId,
         **reasons: object,
     ) -> None:
--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -11,7 +11,7 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.successors import find_leader
 from sedgeshunt.identifiers import Seconds, TargetId, Term
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.directory import GroupMembers, KnownTarget
 from sedgeshunt.routing.freshness import FreshnessProof
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         parts: KeeperParts,
         freshness: FreshnessProof,
     ) -> None:
--- a/src/sedgeshunt/execution/primary_keeper.py
+++ b/src/sedgeshunt/execution/primary_keeper.py
@@ -32,7 +32,7 @@
     TargetId,
     Term,
 )
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.directory import GroupMembers
 from sedgeshunt.routing.freshness import FreshnessProof
 
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         state: PrimaryState,
         probe: PrimaryProbe,
         parts: KeeperParts,
--- a/src/sedgeshunt/execution/replacement.py
+++ b/src/sedgeshunt/execution/replacement.py
@@ -27,7 +27,7 @@
 )
 from sedgeshunt.identifiers import Seconds, TargetId, Term
 from sedgeshunt.ownership.records import GroupRecords
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.directory import (
     GroupMembers,
     KnownTarget,
@@ -71,7 +71,7 @@
 
     async def promote(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         members: GroupMembers,
         statuses: Mapping[TargetId, LogStatus],
         acknowledged: Point | None,
@@ -103,7 +103,7 @@
 
     async def finish_pending(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         statuses: Mapping[TargetId, LogStatus],
     ) -> bool:
         """See an earlier owner's order through; tell whether there was one."""
@@ -124,7 +124,7 @@
 
     def _choose(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         members: GroupMembers,
         statuses: Mapping[TargetId, LogStatus],
         least: Term,
@@ -144,7 +144,7 @@
 
     def _is_over(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         intent: ReplacementIntent,
         statuses: Mapping[TargetId, LogStatus],
     ) -> bool:
@@ -194,7 +194,7 @@
 
     async def _promote(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         known: KnownTarget,
     ) -> Successor | None:
         target = known.target.name
@@ -218,7 +218,7 @@
 
     async def _order(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         target: TargetId,
     ) -> PromotionAnswer:
         # An order that could arrive after the end of this reign would be one
@@ -240,7 +240,7 @@
     def _tell(
         self,
         kind: DecisionKind,
-        reign: Reign,
+        reign: GroupOwnership,
         target: TargetId,
         **reasons: object,
     ) -> None:
--- a/src/sedgeshunt/ownership/claims.py
+++ b/src/sedgeshunt/ownership/claims.py
@@ -28,7 +28,10 @@
 )
 from sedgeshunt.ownership.ranking import choose_candidates, rank_owners
 from sedgeshunt.ownership.records import GroupRecords
-from sedgeshunt.ownership.reign import LONGEST_EXTENSION, Reign
+from sedgeshunt.ownership.group_ownership import (
+    LONGEST_EXTENSION,
+    GroupOwnership,
+)
 from sedgeshunt.ownership.releases import Releases
 from sedgeshunt.registry.entries import GroupRecord, InstanceEntry
 
@@ -128,7 +131,7 @@
             return False
         return not self._context.is_owner_heard(self.group, record.owner)
 
-    async def wait_reign(self) -> Reign:
+    async def wait_reign(self) -> GroupOwnership:
         """Wait until this instance owns the group."""
         while True:
             token = await self._try_claim()
@@ -137,7 +140,7 @@
             is_near = self._absent_since is not None or self.is_pressing
             await self._wait_change(LOOK_EVERY if is_near else IDLE_LOOK)
 
-    async def hold(self, reign: Reign) -> None:
+    async def hold(self, reign: GroupOwnership) -> None:
         """Return once the reign has ended."""
         async with TaskGroup() as tasks:
             keeping = tasks.create_task(self._keep_candidates(reign))
@@ -152,7 +155,7 @@
         self._context.releases.note_own(self.group, reign.claim)
         self._tell(DecisionKind.GROUP_LOST, reign.token)
 
-    async def _give_up(self, reign: Reign) -> bool:
+    async def _give_up(self, reign: GroupOwnership) -> bool:
         heir = reign.heir
         if heir is None:
             return False
@@ -179,7 +182,7 @@
             async with timeout(limit):
                 await self.changed.wait()
 
-    def _still_owns(self, reign: Reign) -> bool:
+    def _still_owns(self, reign: GroupOwnership) -> bool:
         if reign.is_over:
             return False
         records = self._context.records
@@ -189,7 +192,7 @@
             return records.is_outdated(self.group) and reign.is_held()
         return reign.is_held()
 
-    async def _claim_again(self, reign: Reign) -> None:
+    async def _claim_again(self, reign: GroupOwnership) -> None:
         """Put the key back that has gone while proofs keep the reign up."""
         records = self._context.records
         if records.find_token(self.group) == reign.token:
@@ -341,9 +344,9 @@
             await sleep(RANK_DELAY)
         return None
 
-    def _open_reign(self, token: OwnerToken) -> Reign:
+    def _open_reign(self, token: OwnerToken) -> GroupOwnership:
         context = self._context
-        reign = Reign(
+        reign = GroupOwnership(
             self.group,
             context.records.owner,
             token,
@@ -359,7 +362,7 @@
         self._tell(DecisionKind.GROUP_CLAIMED, token)
         return reign
 
-    async def _keep_candidates(self, reign: Reign) -> None:
+    async def _keep_candidates(self, reign: GroupOwnership) -> None:
         """Add instances that came and drop those that have gone."""
         while True:
             await sleep(RECORDS_EVERY)
--- a/src/sedgeshunt/ownership/reign.py
+++ b/src/sedgeshunt/ownership/group_ownership.py
@@ -19,7 +19,7 @@
 LONGEST_EXTENSION = Seconds(30)
 
 
-class Reign:
+class GroupOwnership:
     """Hold one time of ownership, from a claim to its end."""
 
     # Two proofs keep it up. The lease: the store gives the key to nobody else
--- a/src/sedgeshunt/ownership/records.py
+++ b/src/sedgeshunt/ownership/records.py
@@ -24,7 +24,7 @@
     Term,
 )
 from sedgeshunt.ownership.lease import InstanceLease
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.ports import (
     CommitResult,
     Compare,
@@ -213,7 +213,7 @@
 
     async def note_intent(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         target: TargetId,
         served: Term,
     ) -> bool:
@@ -230,11 +230,11 @@
             leader = replace(leader, term=served)
         return await self._change(reign, intent=intent, leader=leader)
 
-    async def clear_intent(self, reign: Reign) -> bool:
+    async def clear_intent(self, reign: GroupOwnership) -> bool:
         """Write that no promotion is under way."""
         return await self._change(reign, intent=None)
 
-    async def note_doubt(self, reign: Reign, target: TargetId) -> bool:
+    async def note_doubt(self, reign: GroupOwnership, target: TargetId) -> bool:
         """Write that a target may have led the next term, and is lost."""
         term = Term(self.find_term(reign.group) + 1)
         leader = LeaderNote(target, term, era=self._store.era)
@@ -242,7 +242,7 @@
 
     async def note_leader(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         target: TargetId,
         term: Term,
         life: TargetLife,
@@ -257,7 +257,7 @@
 
     async def note_copies(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         places: Collection[CopyPlace],
     ) -> bool:
         """Write where acknowledged writes may be."""
@@ -265,7 +265,7 @@
 
     async def change_candidates(
         self,
-        reign: Reign,
+        reign: GroupOwnership,
         candidates: Collection[ProxyId],
     ) -> bool:
         """Write who may claim the group."""
@@ -286,7 +286,7 @@
             (Delete(seen.owner_key), Put(seen.record_key, freed)),
         )
 
-    async def _change(self, reign: Reign, **changes: object) -> bool:
+    async def _change(self, reign: GroupOwnership, **changes: object) -> bool:
         seen = self._read(reign.group)
         if seen.record is None or not self.is_own(seen.owner):
             return False
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -13,7 +13,7 @@
     PromisesHeld,
     PromisesMade,
 )
-from sedgeshunt.ownership.reign import Reign
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.keys import make_owner_key
 from sedgeshunt.requests.outcome import NotRun, Unknown
 from tests.features.node_bench import GROUP, ROUTES
@@ -336,7 +336,7 @@
     bench.start('east-1')
     lease = bench.nodes['east-1'].service.find_lease()
     context.held = PromisesHeld()
-    context.reign = Reign(
+    context.reign = GroupOwnership(
         GROUP,
         ProxyId('east-1'),
         OwnerToken(1),
