--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -52,10 +52,12 @@
         async with AsyncExitStack() as owned:
             owned.push_async_callback(self.reader.close)
             tasks = await owned.enter_async_context(TaskGroup())
-            tasks.create_task(self.probe.run(lambda: self.claim.is_pressing))
+            tasks.create_task(
+                self.probe.run(lambda: self.claim.is_claim_expected)
+            )
             tasks.create_task(self._end_idle())
             while True:
-                await self._serve(await self.claim.wait_reign())
+                await self._serve(await self.claim.wait_ownership())
 
     def read_tip(self) -> Point | None:
         """Return the primary's log end while this proxy owns the group."""
--- a/src/sedgeshunt/execution/primary_keeper.py
+++ b/src/sedgeshunt/execution/primary_keeper.py
@@ -262,7 +262,7 @@
         """Have a peer that reaches the primary own the group."""
         # A promotion loses what no replica has received, and takes longer.
         if heir is not None:
-            self._reign.leave_to(heir)
+            self._reign.hand_over_to(heir)
             await sleep(HANDOVER_TIME)
 
     async def _replace(
@@ -388,5 +388,5 @@
         executor = self._state.executor
         if executor is not None:
             await self._suspend(executor)
-        self._reign.leave_to(heir)
+        self._reign.hand_over_to(heir)
         await sleep(HANDOVER_TIME)
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -24,7 +24,7 @@
 from sedgeshunt.ownership.promises import (
     OUTAGE_PROMISE_TIME,
     PROMISE_TIME,
-    PromisesHeld,
+    PromisesReceived,
     PromisesMade,
 )
 from sedgeshunt.ownership.records import GroupRecords
@@ -44,7 +44,7 @@
         configuration: LiveConfiguration,
         lease: InstanceLease,
         made: PromisesMade,
-        held: PromisesHeld,
+        held: PromisesReceived,
         releases: Releases,
         records: GroupRecords,
         circle: Circle,
@@ -120,7 +120,7 @@
             self._view.newest,
             # A peer that counts on it must hear at once that it is over.
             self._lease.has_own_answer(),
-            tuple(self._releases.list_own()),
+            tuple(self._releases.list_recent()),
             self._configuration.copy_newer(beat.version),
         )
 
@@ -154,7 +154,7 @@
             if owned.tip is not None:
                 self._groups.take_tip(owned.group, asked_at, owned.tip)
         for group, claim in reply.released:
-            self._releases.note_heard(group, claim)
+            self._releases.record_peer_release(group, claim)
         self._view.observe_revision(reply.store_revision)
         if reply.document is not None:
             self._configuration.apply_copy(reply.document)
--- a/src/sedgeshunt/membership/neighbours.py
+++ b/src/sedgeshunt/membership/neighbours.py
@@ -111,7 +111,7 @@
         for known in self._known.values():
             known.link.wake()
 
-    def is_owner_heard(self, group: GroupId, owner: ProxyId) -> bool:
+    def is_ownership_reported(self, group: GroupId, owner: ProxyId) -> bool:
         """Tell whether a peer says that it still owns a group."""
         link = self.find_link(owner)
         return link is not None and group in link.owned
--- a/src/sedgeshunt/node_service.py
+++ b/src/sedgeshunt/node_service.py
@@ -44,7 +44,7 @@
 from sedgeshunt.node_settings import NodeSettings
 from sedgeshunt.ownership.claims import ClaimContext
 from sedgeshunt.ownership.lease import InstanceLease
-from sedgeshunt.ownership.promises import PromisesHeld, PromisesMade
+from sedgeshunt.ownership.promises import PromisesReceived, PromisesMade
 from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.releases import Releases
 from sedgeshunt.ports import KeyValueService
@@ -118,7 +118,7 @@
         )
         circle = Circle(self.entry, self._configuration, self._records)
         self._parts = PartsHeld()
-        made, held = PromisesMade(started_at), PromisesHeld()
+        made, held = PromisesMade(started_at), PromisesReceived()
         releases = Releases()
         self._heartbeats = Heartbeats(
             self.entry,
--- a/src/sedgeshunt/ownership/claims.py
+++ b/src/sedgeshunt/ownership/claims.py
@@ -23,7 +23,7 @@
 from sedgeshunt.ownership.lease import InstanceLease
 from sedgeshunt.ownership.promises import (
     OUTAGE_PROMISE_TIME,
-    PromisesHeld,
+    PromisesReceived,
     PromisesMade,
 )
 from sedgeshunt.ownership.ranking import choose_candidates, rank_owners
@@ -69,7 +69,7 @@
         """Return one listed instance."""
 
     @abstractmethod
-    def is_owner_heard(self, group: GroupId, owner: ProxyId) -> bool:
+    def is_ownership_reported(self, group: GroupId, owner: ProxyId) -> bool:
         """Tell whether a peer says that it still owns a group."""
 
 
@@ -81,7 +81,7 @@
         records: GroupRecords,
         lease: InstanceLease,
         made: PromisesMade,
-        held: PromisesHeld,
+        held: PromisesReceived,
         releases: Releases,
         peers: KnownPeers,
         decisions: DecisionLog,
@@ -94,7 +94,7 @@
         self.releases = releases
         self.list_instances = peers.list_instances
         self.find_instance = peers.find_instance
-        self.is_owner_heard = peers.is_owner_heard
+        self.is_ownership_reported = peers.is_ownership_reported
         self.decisions = decisions
         self.started_at = read_boottime()
         self.is_stopping = False
@@ -121,7 +121,7 @@
         self._withheld: frozenset[ProxyId] = frozenset()
 
     @property
-    def is_pressing(self) -> bool:
+    def is_claim_expected(self) -> bool:
         """Tell whether the owner is silent, so that a claim may follow."""
         records = self._context.records
         record = records.find_record(self.group)
@@ -129,15 +129,15 @@
             return False
         if record.owner in ('', records.owner):
             return False
-        return not self._context.is_owner_heard(self.group, record.owner)
+        return not self._context.is_ownership_reported(self.group, record.owner)
 
-    async def wait_reign(self) -> GroupOwnership:
+    async def wait_ownership(self) -> GroupOwnership:
         """Wait until this instance owns the group."""
         while True:
             token = await self._try_claim()
             if token is not None:
                 return self._open_reign(token)
-            is_near = self._absent_since is not None or self.is_pressing
+            is_near = self._absent_since is not None or self.is_claim_expected
             await self._wait_change(LOOK_EVERY if is_near else IDLE_LOOK)
 
     async def hold(self, reign: GroupOwnership) -> None:
@@ -152,7 +152,7 @@
             keeping.cancel()
         # Others need not wait for promises, nor for a key that a lease keeps.
         reign.end()
-        self._context.releases.note_own(self.group, reign.claim)
+        self._context.releases.record_own(self.group, reign.claim)
         self._tell(DecisionKind.GROUP_LOST, reign.token)
 
     async def _give_up(self, reign: GroupOwnership) -> bool:
@@ -263,12 +263,14 @@
     def _is_bound(self, owners: frozenset[ProxyId]) -> bool:
         """Promise nothing more to `owners`; tell whether one may go on."""
         context = self._context
-        if any(context.is_owner_heard(self.group, one) for one in owners):
+        if any(
+            context.is_ownership_reported(self.group, one) for one in owners
+        ):
             # It goes on by our promise, or is about to claim again.
             self._allow()
             return True
         self._withhold(owners)
-        return any(context.made.measure_bond(one) > 0 for one in owners)
+        return any(context.made.measure_remaining(one) > 0 for one in owners)
 
     def _list_bound(self, last: ProxyId) -> frozenset[ProxyId]:
         """List all who may own the group by a promise that was made here."""
--- a/src/sedgeshunt/ownership/group_ownership.py
+++ b/src/sedgeshunt/ownership/group_ownership.py
@@ -11,7 +11,7 @@
     Seconds,
 )
 from sedgeshunt.ownership.lease import InstanceLease
-from sedgeshunt.ownership.promises import PromisesHeld
+from sedgeshunt.ownership.promises import PromisesReceived
 
 # How long an owner may go on by promises alone, counted from the end of its
 # lease. Longer than the store's outages; an instance that is no candidate
@@ -33,7 +33,7 @@
         owner: ProxyId,
         token: OwnerToken,
         lease: InstanceLease,
-        promises: PromisesHeld,
+        promises: PromisesReceived,
         on_leaving: Callable[[], object],
     ) -> None:
         """Start with the lease's proof; call `on_leaving` to give it up."""
@@ -67,7 +67,7 @@
         """Tell whether nobody else can own the group for `span` to come."""
         return self.is_held() and read_boottime() + span < self._held_until
 
-    def leave_to(self, heir: ProxyId) -> None:
+    def hand_over_to(self, heir: ProxyId) -> None:
         """Have the group given up to another instance."""
         self.heir = heir
         self._on_leaving()
--- a/src/sedgeshunt/ownership/promises.py
+++ b/src/sedgeshunt/ownership/promises.py
@@ -50,14 +50,14 @@
         """Promise `owner` again, unless another group may be claimed."""
         self._withheld.get(owner, set()).discard(group)
 
-    def measure_bond(self, owner: ProxyId) -> Seconds:
+    def measure_remaining(self, owner: ProxyId) -> Seconds:
         """Return how long this instance is still bound to `owner`."""
         since_start = self._started_at + OUTAGE_PROMISE_TIME
         until = max(since_start, self._bound_until.get(owner, Boottime(0)))
         return Seconds(max(0, until - read_boottime()))
 
 
-class PromisesHeld:
+class PromisesReceived:
     """Remember what candidates promised this instance, by its own clock."""
 
     def __init__(self) -> None:
--- a/src/sedgeshunt/ownership/releases.py
+++ b/src/sedgeshunt/ownership/releases.py
@@ -19,11 +19,11 @@
         self._own: dict[GroupId, tuple[int, Boottime]] = {}
         self._heard: dict[GroupId, int] = {}
 
-    def note_own(self, group: GroupId, claim: int) -> None:
+    def record_own(self, group: GroupId, claim: int) -> None:
         """Take in that this instance's reign by a claim has ended."""
         self._own[group] = (claim, read_boottime())
 
-    def list_own(self) -> list[tuple[GroupId, int]]:
+    def list_recent(self) -> list[tuple[GroupId, int]]:
         """List the groups and claims that are to be told."""
         since = read_boottime() - TOLD_FOR
         return [
@@ -32,7 +32,7 @@
             if ended_at > since
         ]
 
-    def note_heard(self, group: GroupId, claim: int) -> None:
+    def record_peer_release(self, group: GroupId, claim: int) -> None:
         """Take in a peer's word."""
         self._heard[group] = max(claim, self._heard.get(group, 0))
 
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -10,7 +10,7 @@
 from sedgeshunt.identifiers import GroupId, OwnerToken, ProxyId, Seconds
 from sedgeshunt.ownership.promises import (
     PROMISE_TIME,
-    PromisesHeld,
+    PromisesReceived,
     PromisesMade,
 )
 from sedgeshunt.ownership.group_ownership import GroupOwnership
@@ -335,7 +335,7 @@
     bench = open_bench(context)
     bench.start('east-1')
     lease = bench.nodes['east-1'].service.find_lease()
-    context.held = PromisesHeld()
+    context.held = PromisesReceived()
     context.reign = GroupOwnership(
         GROUP,
         ProxyId('east-1'),
@@ -401,6 +401,6 @@
 @then('it is bound to any owner for {seconds:g} s')
 def check_bound(context: Any, seconds: float) -> None:
     owner = ProxyId('east-1')
-    assert context.made.measure_bond(owner) > seconds - 0.01
+    assert context.made.measure_remaining(owner) > seconds - 0.01
     context.nodes.wait(seconds)
-    assert not context.made.measure_bond(owner)
+    assert not context.made.measure_remaining(owner)
