--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -59,7 +59,7 @@
             await self._note(noted - gone)
 
     async def _note(self, places: frozenset[CopyPlace]) -> None:
-        if not await self._records.note_copies(self._reign, places):
+        if not await self._records.record_copies(self._reign, places):
             self._pause()
 
     def _find_gone(self, absent: frozenset[CopyPlace]) -> frozenset[CopyPlace]:
--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -114,7 +114,7 @@
         # A store that came back from a copy may have lost the note of who led
         # since; the one noted says that it leads until it learns better.
         records = self._parts.records
-        return records.is_leader_doubtful(self._reign.group) and any(
+        return records.is_primary_uncertain(self._reign.group) and any(
             known.target.name not in statuses for known in members.targets
         )
 
--- a/src/sedgeshunt/execution/primary_keeper.py
+++ b/src/sedgeshunt/execution/primary_keeper.py
@@ -158,7 +158,7 @@
             term=leader.status.term,
             end=leader.status.received.position,
         )
-        await self._parts.records.note_leader(
+        await self._parts.records.record_primary(
             self._reign,
             known.target.name,
             leader.status.term,
@@ -365,7 +365,7 @@
         question of after the stop's beginning proves that it is neither.
         """
         records = self._parts.records
-        if records.is_refused_alone():
+        if records.is_cut_off_from_store():
             # The peer claims by this owner's own word.
             return True
         if self._leave_by is not None and read_clock() >= self._leave_by:
--- a/src/sedgeshunt/execution/replacement.py
+++ b/src/sedgeshunt/execution/replacement.py
@@ -97,7 +97,7 @@
         # The next owner must know that an order is under way: it takes effect
         # hundreds of milliseconds after it was sent.
         target = chosen.known.target.name
-        if not await self._records.note_intent(reign, target, least):
+        if not await self._records.record_intent(reign, target, least):
             return None
         return await self._promote(reign, chosen.known)
 
@@ -117,7 +117,7 @@
         if answer is PromotionAnswer.TARGET_DOWN:
             # It may have led for a while before it went down, unnoted for want
             # of the store: the one that led before can't be trusted any more.
-            await self._records.note_doubt(reign, intent.target)
+            await self._records.record_uncertain_primary(reign, intent.target)
         else:
             await sleep(POLL_EVERY)
         return True
@@ -135,7 +135,7 @@
         if target is None or known is None:
             return None
         status = statuses[target]
-        is_doubtful = self._records.is_leader_doubtful(reign.group)
+        is_doubtful = self._records.is_primary_uncertain(reign.group)
         if is_doubtful or status.term < least:
             # One that is not heard may have what was written since.
             if _lacks_any(members, statuses):
--- a/src/sedgeshunt/membership/isolation.py
+++ b/src/sedgeshunt/membership/isolation.py
@@ -90,9 +90,9 @@
 
     def _misses_store(self) -> bool:
         """Tell whether neither the store nor a peer that has it answers."""
-        self._lease.look()
+        self._lease.wake_if_needed()
         is_overdue = self._lease.is_overdue()
-        if not (is_overdue or self._lease.is_doubtful()):
+        if not (is_overdue or self._lease.has_stale_evidence()):
             self._asked_at = None
             return False
         if self._asked_at is None:
--- a/src/sedgeshunt/membership/registration.py
+++ b/src/sedgeshunt/membership/registration.py
@@ -18,7 +18,7 @@
         self._view = view
         self._own = own
 
-    async def wait_known(self, limit: Seconds) -> None:
+    async def wait_listed(self, limit: Seconds) -> None:
         """Wait until it is known what the store holds, or `limit` is over."""
         with suppress(TimeoutError):
             async with timeout(limit):
--- a/src/sedgeshunt/membership/zone_feed.py
+++ b/src/sedgeshunt/membership/zone_feed.py
@@ -8,7 +8,7 @@
 from sedgeshunt.identifiers import Monotonic, ProxyId, Revision, Seconds
 from sedgeshunt.membership.circle import Circle
 from sedgeshunt.membership.neighbours import Neighbours
-from sedgeshunt.ownership.lease import StoreWitness
+from sedgeshunt.ownership.lease import StoreEvidence
 from sedgeshunt.registry.changes import StoreChanges
 from sedgeshunt.registry.entries import InstanceEntry
 from sedgeshunt.registry.feeds import ChangeFeed
@@ -19,7 +19,7 @@
 DISTRUST_FOR = Seconds(2)
 
 
-class ZoneFeed(ChangeFeed, StoreWitness):
+class ZoneFeed(ChangeFeed, StoreEvidence):
     """Choose the peer that hands changes on, and tell while one does."""
 
     def __init__(
@@ -66,11 +66,11 @@
             name = self._present.peer.name
             self._distrusted[name] = Monotonic(read_clock() + DISTRUST_FOR)
 
-    def may_own(self) -> bool:
+    def is_owner_or_candidate(self) -> bool:
         """Tell whether this instance may claim a group, or owns one."""
         return self._circle.is_candidate_of_any()
 
-    def hears_store(self) -> bool:
+    def is_store_reached(self) -> bool:
         """Tell whether a peer that watches the store hands changes on."""
         present = self._present
         return self._is_open and present is not None and present.is_answering()
--- a/src/sedgeshunt/ownership/lease.py
+++ b/src/sedgeshunt/ownership/lease.py
@@ -67,15 +67,15 @@
 LONG_TERMS = LeaseTerms(Seconds(9), Seconds(3), Seconds(0.5))
 
 
-class StoreWitness(ABC):
+class StoreEvidence(ABC):
     """Know of the store by others."""
 
     @abstractmethod
-    def hears_store(self) -> bool:
+    def is_store_reached(self) -> bool:
         """Tell whether a peer shows at this moment that the store answers."""
 
     @abstractmethod
-    def may_own(self) -> bool:
+    def is_owner_or_candidate(self) -> bool:
         """Tell whether this instance may claim a group, or owns one."""
 
 
@@ -83,7 +83,7 @@
     """Know whether the store lists this instance."""
 
     @abstractmethod
-    async def wait_known(self, limit: Seconds) -> None:
+    async def wait_listed(self, limit: Seconds) -> None:
         """Wait until it is known what the store holds, or `limit` is over."""
 
     @abstractmethod
@@ -127,7 +127,7 @@
         self._asked_at: Boottime | None = None
         self.is_released = False
         self._relay: LeaseRelay | None = None
-        self._witness: StoreWitness | None = None
+        self._witness: StoreEvidence | None = None
         self._registration: Registration | None = None
         store.listen(self._give_up)
 
@@ -149,7 +149,7 @@
         own_silence = read_boottime() - self._renewed_at
         return own_silence < LATE_AFTER and not self.is_overdue()
 
-    def is_doubtful(self) -> bool:
+    def has_stale_evidence(self) -> bool:
         """Tell whether the last sign of the store was a peer's, and is over."""
         if self._hears_store():
             return False
@@ -172,14 +172,14 @@
         is_new = asked_at >= since and self.is_fresh()
         return is_new and self._answer_time < OVERDUE_AFTER
 
-    def is_refused_alone(self) -> bool:
+    def is_cut_off_from_store(self) -> bool:
         """Tell whether peers that count as reaching the store truly do."""
         return self.measure_silence() > ALONE_AFTER
 
     def bind(
         self,
         relay: LeaseRelay,
-        witness: StoreWitness,
+        witness: StoreEvidence,
         registration: Registration,
     ) -> None:
         """Use `relay` where the store does not answer."""
@@ -194,12 +194,12 @@
     def shorten(self) -> None:
         """Take a short lease as soon as the store answers."""
         self._short_until = Boottime(read_boottime() + SHORT_FOR)
-        self.look()
+        self.wake_if_needed()
 
-    def look(self) -> None:
+    def wake_if_needed(self) -> None:
         """Have the store asked at once where that is needed."""
         is_silent = self.measure_silence() > ASK_AFTER
-        is_asked = is_silent or self.is_doubtful() or self.id is None
+        is_asked = is_silent or self.has_stale_evidence() or self.id is None
         if is_asked or self._wants_short() != self.is_short():
             self._awake.set()
 
@@ -218,7 +218,7 @@
     async def run(self) -> None:
         """Hold a lease until cancelled."""
         if self._registration is not None:
-            await self._registration.wait_known(KNOWN_WITHIN)
+            await self._registration.wait_listed(KNOWN_WITHIN)
         while True:
             began_at = read_boottime()
             self._asked_at = began_at
@@ -277,10 +277,10 @@
     def _wants_short(self) -> bool:
         if read_boottime() < self._short_until:
             return True
-        return self._witness is None or self._witness.may_own()
+        return self._witness is None or self._witness.is_owner_or_candidate()
 
     def _hears_store(self) -> bool:
-        return self._witness is not None and self._witness.hears_store()
+        return self._witness is not None and self._witness.is_store_reached()
 
     def _is_missing(self) -> bool:
         if self._registration is None or not self._registration.is_missing():
@@ -291,7 +291,7 @@
         """Wait until the next renewal is due, or is needed sooner."""
         await sleep(RETRY_AFTER)
         self._awake.clear()
-        self.look()
+        self.wake_if_needed()
         with suppress(TimeoutError):
             async with timeout(max(0, span - RETRY_AFTER)):
                 await self._awake.wait()
--- a/src/sedgeshunt/ownership/records.py
+++ b/src/sedgeshunt/ownership/records.py
@@ -88,9 +88,9 @@
         """Tell whether the store has answered of late."""
         return self._lease.reaches_store()
 
-    def is_refused_alone(self) -> bool:
+    def is_cut_off_from_store(self) -> bool:
         """Tell whether peers that count as reaching the store truly do."""
-        return self._lease.is_refused_alone()
+        return self._lease.is_cut_off_from_store()
 
     def has_prompt_store(self, since: Boottime) -> bool:
         """Tell whether the store answers quickly, and has since a moment."""
@@ -121,7 +121,7 @@
         """Return for how long the store's newest era has been known."""
         return self._store.measure_age()
 
-    def is_leader_doubtful(self, group: GroupId) -> bool:
+    def is_primary_uncertain(self, group: GroupId) -> bool:
         """Tell whether another target may have led since the one noted."""
         record = self.find_record(group)
         leader = None if record is None else record.leader
@@ -211,7 +211,7 @@
             heir=ProxyId(''),
         )
 
-    async def note_intent(
+    async def record_intent(
         self,
         reign: GroupOwnership,
         target: TargetId,
@@ -234,13 +234,15 @@
         """Write that no promotion is under way."""
         return await self._change(reign, intent=None)
 
-    async def note_doubt(self, reign: GroupOwnership, target: TargetId) -> bool:
+    async def record_uncertain_primary(
+        self, reign: GroupOwnership, target: TargetId
+    ) -> bool:
         """Write that a target may have led the next term, and is lost."""
         term = Term(self.find_term(reign.group) + 1)
         leader = LeaderNote(target, term, era=self._store.era)
         return await self._change(reign, leader=leader, intent=None)
 
-    async def note_leader(
+    async def record_primary(
         self,
         reign: GroupOwnership,
         target: TargetId,
@@ -255,7 +257,7 @@
                 return True
         return await self._change(reign, leader=leader, intent=None)
 
-    async def note_copies(
+    async def record_copies(
         self,
         reign: GroupOwnership,
         places: Collection[CopyPlace],
