--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -201,5 +201,7 @@
     members = configuration.find_members(group)
     if members is None:
         return None
-    leading = (known.target.zone for known in members.targets if known.leads)
+    leading = (
+        known.target.zone for known in members.targets if known.is_primary
+    )
     return next(leading, None)
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -253,7 +253,7 @@
     return [
         known
         for known in members.targets
-        if not known.leads and not known.target.is_leaving()
+        if not known.is_primary and not known.target.is_leaving()
     ]
 
 
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -108,7 +108,7 @@
         if beat.sender is not None:
             self._meet(beat.sender)
             if beat.promised:
-                self._held.note(beat.sender.name, beat.echo, beat.promised)
+                self._held.record(beat.sender.name, beat.echo, beat.promised)
             if beat.gives_part:
                 self._parts.note(beat.sender.name, beat.echo)
         self._view.observe_revision(beat.store_revision)
@@ -121,7 +121,7 @@
             # A peer that counts on it must hear at once that it is over.
             self._lease.has_own_answer(),
             tuple(self._releases.list_recent()),
-            self._configuration.copy_newer(beat.version),
+            self._configuration.find_newer_document(beat.version),
         )
 
     def find_pace(
--- a/src/sedgeshunt/membership/zone_feed.py
+++ b/src/sedgeshunt/membership/zone_feed.py
@@ -40,7 +40,7 @@
         """Tell whether others watch the store for this instance."""
         return not self._must_watch()
 
-    def is_offered(self) -> bool:
+    def is_available(self) -> bool:
         """Tell whether a watcher of the zone would hand changes on."""
         return self._choose() is not None
 
@@ -60,7 +60,7 @@
         finally:
             self._is_open = False
 
-    def distrust(self) -> None:
+    def suspend_peer(self) -> None:
         """Ask the present peer no more for a while."""
         if self._present is not None:
             name = self._present.peer.name
--- a/src/sedgeshunt/ownership/claims.py
+++ b/src/sedgeshunt/ownership/claims.py
@@ -258,7 +258,7 @@
         """Tell whether the store has come back a moment ago."""
         records = self._context.records
         is_outdated = records.is_outdated(self.group)
-        return is_outdated and records.measure_return() < RETURN_WAIT
+        return is_outdated and records.measure_era_age() < RETURN_WAIT
 
     def _is_bound(self, owners: frozenset[ProxyId]) -> bool:
         """Promise nothing more to `owners`; tell whether one may go on."""
--- a/src/sedgeshunt/ownership/promises.py
+++ b/src/sedgeshunt/ownership/promises.py
@@ -64,7 +64,7 @@
         """Hold none."""
         self._end: dict[ProxyId, Boottime] = {}
 
-    def note(
+    def record(
         self,
         candidate: ProxyId,
         made_after: Boottime,
--- a/src/sedgeshunt/ownership/records.py
+++ b/src/sedgeshunt/ownership/records.py
@@ -117,9 +117,9 @@
         record = self.find_record(group)
         return record is not None and record.era < self._store.era
 
-    def measure_return(self) -> Seconds:
+    def measure_era_age(self) -> Seconds:
         """Return for how long the store's newest era has been known."""
-        return self._store.measure_age()
+        return self._store.measure_era_age()
 
     def is_primary_uncertain(self, group: GroupId) -> bool:
         """Tell whether another target may have led since the one noted."""
--- a/src/sedgeshunt/platform/documents.py
+++ b/src/sedgeshunt/platform/documents.py
@@ -34,7 +34,7 @@
 )
 from sedgeshunt.ports import KeyValue
 from sedgeshunt.registry.directory import (
-    Declared,
+    DeclaredConfiguration,
     KnownTarget,
     PlatformDocuments,
 )
@@ -131,11 +131,11 @@
     configuration_key = CONFIGURATION_KEY
     targets_prefix = TARGETS_PREFIX
 
-    def read_declared(self, pair: KeyValue) -> Declared:
+    def read_declared(self, pair: KeyValue) -> DeclaredConfiguration:
         """Read the operator's document; raise DocumentUnreadable."""
         read = _decode(pair.value, _Configuration, pair.key)
         groups = (_make_group(one, read.limits) for one in read.services)
-        return Declared(
+        return DeclaredConfiguration(
             read.version,
             {group.name: group for group in groups},
             {route.traffic_class: route for route in _make_routes(read.routes)},
--- a/src/sedgeshunt/registry/configuration.py
+++ b/src/sedgeshunt/registry/configuration.py
@@ -23,7 +23,7 @@
 )
 from sedgeshunt.ports import KeyValue
 from sedgeshunt.registry.directory import (
-    Declared,
+    DeclaredConfiguration,
     GroupMembers,
     KnownTarget,
     PlatformDocuments,
@@ -47,7 +47,7 @@
         decisions: DecisionLog,
     ) -> None:
         """Follow `view` from now on."""
-        self.declared = Declared()
+        self.declared = DeclaredConfiguration()
         # The item that is in force, for peers that the store does not serve.
         self.source: KeyValue | None = None
         # The latest document that was turned down.
@@ -76,7 +76,7 @@
         """Return the operator's version of what is in force, 0 for nothing."""
         return self.declared.version
 
-    def copy_newer(self, known: int) -> bytes | None:
+    def find_newer_document(self, known: int) -> bytes | None:
         """Return the document in force if it is newer than version `known`."""
         if self.source is None or self.version <= known:
             return None
@@ -113,7 +113,7 @@
             return Identity(version=declared.version)
         return None
 
-    def may_still_call(self, identity: Identity) -> bool:
+    def is_key_valid(self, identity: Identity) -> bool:
         """Tell whether what is known here leaves a caller its key."""
         declared = self.declared
         customers = declared.customers
@@ -213,7 +213,7 @@
         """Drop the targets that the store does not list any more."""
         # A copy lacks what was written after it: a primary without an entry
         # would be replaced though it is about to write its entry again.
-        wait = RELIST_TIME - self._view.measure_return()
+        wait = RELIST_TIME - self._view.measure_era_age()
         unlisted = [key for key in self._targets if not self._view.get(key)]
         if unlisted and wait > 0:
             get_running_loop().call_later(wait, self._end_relisting)
@@ -243,7 +243,9 @@
                 Decision(DecisionKind.CONFIGURATION_REFUSED, reasons=reasons),
             )
 
-    def _refuse_older(self, pair: KeyValue, declared: Declared) -> None:
+    def _refuse_older(
+        self, pair: KeyValue, declared: DeclaredConfiguration
+    ) -> None:
         self._older = pair.value
         why = f'version {declared.version} is not newer than {self.version}'
         self._decisions.record(
--- a/src/sedgeshunt/registry/current_store.py
+++ b/src/sedgeshunt/registry/current_store.py
@@ -52,7 +52,7 @@
         """Call `listener` when the store has come back from a copy."""
         self._listeners.append(listener)
 
-    def measure_age(self) -> Seconds:
+    def measure_era_age(self) -> Seconds:
         """Return for how long the newest era has been known."""
         return Seconds(read_boottime() - self._learned_at)
 
--- a/src/sedgeshunt/registry/directory.py
+++ b/src/sedgeshunt/registry/directory.py
@@ -24,12 +24,12 @@
     # Statements that it runs at once.
     slots: int
     # It believes that it leads its group.
-    leads: bool
+    is_primary: bool
     # Started again, it holds nothing of what it held before.
     life: TargetLife = TargetLife(0)
 
 
-class Declared(Struct, frozen=True):
+class DeclaredConfiguration(Struct, frozen=True):
     """Hold one version of the operator's groups and routes."""
 
     version: int = 0
@@ -53,7 +53,7 @@
         """Return the prefix of the targets' documents."""
 
     @abstractmethod
-    def read_declared(self, pair: KeyValue) -> Declared:
+    def read_declared(self, pair: KeyValue) -> DeclaredConfiguration:
         """Read the operator's document; raise DocumentUnreadable."""
 
     @abstractmethod
--- a/src/sedgeshunt/registry/feeds.py
+++ b/src/sedgeshunt/registry/feeds.py
@@ -28,7 +28,7 @@
         """Tell whether others watch the store for this proxy."""
 
     @abstractmethod
-    def is_offered(self) -> bool:
+    def is_available(self) -> bool:
         """Tell whether a peer would hand changes on, and is to be asked."""
 
     @abstractmethod
@@ -36,7 +36,7 @@
         """Yield what changes after a revision, until the peer stops."""
 
     @abstractmethod
-    def distrust(self) -> None:
+    def suspend_peer(self) -> None:
         """Ask the present peer no more for a while."""
 
 
@@ -47,7 +47,7 @@
         """Tell that nobody does."""
         return False
 
-    def is_offered(self) -> bool:
+    def is_available(self) -> bool:
         """Tell that nobody would."""
         return False
 
@@ -57,7 +57,7 @@
         for changes in nothing:
             yield changes
 
-    def distrust(self) -> None:
+    def suspend_peer(self) -> None:
         """Do nothing."""
 
 
--- a/src/sedgeshunt/registry/store_view.py
+++ b/src/sedgeshunt/registry/store_view.py
@@ -126,9 +126,9 @@
         """Return the newest place of the store's history known here."""
         return max(self.revision, begin_era(self._store.era))
 
-    def measure_return(self) -> Seconds:
+    def measure_era_age(self) -> Seconds:
         """Return for how long the store's newest era has been known."""
-        return self._store.measure_age()
+        return self._store.measure_era_age()
 
     def observe_revision(self, revision: Revision) -> None:
         """Record that the store has reached a revision."""
@@ -213,7 +213,7 @@
             self.loaded.set()
         if self._feed.is_expected():
             await self._wait_feed()
-        if self._feed.is_offered():
+        if self._feed.is_available():
             await self._follow_peer()
         else:
             await self._follow_store()
@@ -221,7 +221,7 @@
     async def _follow_peer(self) -> None:
         """Apply what a peer hands on, until it stops or is behind."""
         await self._run_until_behind(self._follow_feed())
-        self._feed.distrust()
+        self._feed.suspend_peer()
 
     async def _follow_store(self) -> None:
         """Watch the store until a peer offers to, or the watch is behind."""
@@ -284,7 +284,7 @@
                 await self._wait_offer()
 
     async def _wait_offer(self) -> None:
-        while not self._feed.is_offered():
+        while not self._feed.is_available():
             await sleep(FEED_LOOK)
 
     async def _listen(self) -> None:
--- a/src/sedgeshunt/statements/peer_desk.py
+++ b/src/sedgeshunt/statements/peer_desk.py
@@ -100,7 +100,7 @@
                 ),
             )
         is_begun = call.transaction is not None and not call.begins
-        if not (is_begun or self._configuration.may_still_call(call.identity)):
+        if not (is_begun or self._configuration.is_key_valid(call.identity)):
             reason = f'the key {call.identity.key} was taken away'
             return Err(Rejected(0, NO_CUSTOMER, reason))
         if call.is_relayed or not _must_relay(access, call, book):
--- a/tests/features/steps/entries_steps.py
+++ b/tests/features/steps/entries_steps.py
@@ -73,7 +73,7 @@
             pair for key, pair in self.items.items() if key.startswith(prefix)
         ]
 
-    def measure_return(self) -> float:
+    def measure_era_age(self) -> float:
         """Tell that the store has never come back from a copy."""
         return inf
 
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -361,7 +361,7 @@
 
 @when('the promise is made again')
 def promise(context: Any) -> None:
-    context.held.note(ProxyId('north-1'), read_boottime(), PROMISE_TIME)
+    context.held.record(ProxyId('north-1'), read_boottime(), PROMISE_TIME)
     context.reign.is_held()
 
 
--- a/tests/features/steps/store_changes_steps.py
+++ b/tests/features/steps/store_changes_steps.py
@@ -200,7 +200,7 @@
         """Tell that it will bring changes."""
         return True
 
-    def is_offered(self) -> bool:
+    def is_available(self) -> bool:
         """Tell whether it has brought nothing wrong."""
         return self.is_trusted
 
@@ -209,7 +209,7 @@
         while True:
             yield await self.handed.get()
 
-    def distrust(self) -> None:
+    def suspend_peer(self) -> None:
         """Take in that it is not wanted any more."""
         self.is_trusted = False
 
--- a/tests/standins/documents.py
+++ b/tests/standins/documents.py
@@ -8,7 +8,7 @@
 from sedgeshunt.identifiers import TargetLife
 from sedgeshunt.ports import KeyValue
 from sedgeshunt.registry.directory import (
-    Declared,
+    DeclaredConfiguration,
     KnownTarget,
     PlatformDocuments,
 )
@@ -41,10 +41,10 @@
     configuration_key = CONFIGURATION_KEY
     targets_prefix = TARGETS_PREFIX
 
-    def read_declared(self, pair: KeyValue) -> Declared:
+    def read_declared(self, pair: KeyValue) -> DeclaredConfiguration:
         """Read the operator's document."""
         read = decode(pair.value, type=DeclaredDocument)
-        return Declared(
+        return DeclaredConfiguration(
             read.version,
             {group.name: group for group in read.groups},
             {route.traffic_class: route for route in read.routes},
