--- a/src/sedgeshunt/adapters/forwarding_codec.py
+++ b/src/sedgeshunt/adapters/forwarding_codec.py
@@ -34,8 +34,8 @@
 from sedgeshunt.adapters.frame_values import LONGEST_FRAME
 from sedgeshunt.forwarding.messages import (
     Frame,
-    KeptLease,
-    ReachQuestion,
+    LeaseRenewal,
+    ReachRequest,
 )
 from sedgeshunt.identifiers import (
     Era,
@@ -133,7 +133,7 @@
         (
             None
             if raw.reach is None
-            else ReachQuestion(
+            else ReachRequest(
                 GroupId(raw.reach.group),
                 TargetId(raw.reach.target),
             )
@@ -141,7 +141,7 @@
         (
             None
             if raw.kept_lease is None
-            else KeptLease(raw.kept_lease.id, Era(raw.kept_lease.era))
+            else LeaseRenewal(raw.kept_lease.id, Era(raw.kept_lease.era))
         ),
         raw.is_reached,
         None if raw.followed_from is None else Revision(raw.followed_from),
--- a/src/sedgeshunt/adapters/frame_beats.py
+++ b/src/sedgeshunt/adapters/frame_beats.py
@@ -20,8 +20,8 @@
 )
 from sedgeshunt.adapters.packing import pack
 from sedgeshunt.forwarding.messages import (
-    Beat,
-    BeatReply,
+    Heartbeat,
+    HeartbeatReply,
     OwnedGroup,
 )
 from sedgeshunt.identifiers import (
@@ -38,7 +38,7 @@
 from sedgeshunt.registry.entries import InstanceEntry
 
 
-def make_beat(beat: Beat) -> Any:
+def make_beat(beat: Heartbeat) -> Any:
     """Return a heartbeat as frames have it."""
     sender = beat.sender
     return WireBeat(
@@ -62,9 +62,9 @@
     )
 
 
-def read_beat(raw: Any) -> Beat:
+def read_beat(raw: Any) -> Heartbeat:
     """Return the heartbeat of a frame."""
-    return Beat(
+    return Heartbeat(
         None if raw.sender is None else _read_instance(raw.sender),
         read_ms(raw.promised_ms),
         Boottime(raw.echo),
@@ -85,7 +85,7 @@
     )
 
 
-def make_beat_reply(reply: BeatReply) -> Any:
+def make_beat_reply(reply: HeartbeatReply) -> Any:
     """Return a heartbeat's answer as frames have it."""
     document, is_packed = pack(reply.document)
     return WireBeatReply(
@@ -101,9 +101,9 @@
     )
 
 
-def read_beat_reply(raw: Any) -> BeatReply:
+def read_beat_reply(raw: Any) -> HeartbeatReply:
     """Return a heartbeat's answer from a frame."""
-    return BeatReply(
+    return HeartbeatReply(
         Boottime(raw.stamp),
         _read_owned(raw.owned),
         bool(raw.is_stopping),
--- a/src/sedgeshunt/forwarding/link.py
+++ b/src/sedgeshunt/forwarding/link.py
@@ -22,12 +22,12 @@
 from sedgeshunt.exceptions import PeerUnreachable
 from sedgeshunt.forwarding.channel import FrameChannel, FrameConnector
 from sedgeshunt.forwarding.messages import (
-    Beat,
-    BeatReply,
+    Heartbeat,
+    HeartbeatReply,
     Frame,
-    KeptLease,
+    LeaseRenewal,
     OwnedGroup,
-    ReachQuestion,
+    ReachRequest,
 )
 from sedgeshunt.groups.backoff import Backoff
 from sedgeshunt.groups.points import Point
@@ -54,18 +54,18 @@
 
 # Between an owner and who forwards to it, or may claim from it: three fit into
 # the time for which a promise binds. Other peers have less to tell.
-FAST_BEATS = Seconds(0.2)
-SLOW_BEATS = Seconds(1)
+FAST_HEARTBEAT_INTERVAL = Seconds(0.2)
+SLOW_HEARTBEAT_INTERVAL = Seconds(1)
 # To an owner whose log ends are wanted: half a second of the age that reads
 # accept, 1.5 s at the least.
-TIP_BEATS = Seconds(0.5)
+TIP_HEARTBEAT_INTERVAL = Seconds(0.5)
 # A call that waits for so long asks whether the peer is there still.
 CALL_PATIENCE = Seconds(0.15)
 # A heartbeat without an answer for so long: the answer was missed, and the
 # peer counts as gone. Ways within a region take some milliseconds; a packet
 # that was lost is sent again after 0.2 s.
-MISSED_AFTER = Seconds(0.1)
-GONE_AFTER = Seconds(0.4)
+HEARTBEAT_MISSED_AFTER = Seconds(0.1)
+PEER_LOST_AFTER = Seconds(0.4)
 CONNECT_LIMIT = Seconds(0.5)
 SHORTEST_PAUSE = Seconds(0.1)
 LONGEST_PAUSE = Seconds(0.5)
@@ -78,17 +78,17 @@
     """Say what to tell peers, and take in what they tell."""
 
     @abstractmethod
-    def make_beat(
+    def make_heartbeat(
         self,
         peer: ProxyId,
         echo: Boottime,
         *,
         is_answering: bool,
-    ) -> Beat:
+    ) -> Heartbeat:
         """Return the next heartbeat for a peer."""
 
     @abstractmethod
-    def find_pace(
+    def find_heartbeat_interval(
         self,
         peer: ProxyId,
         owned: Mapping[GroupId, OwnedGroup],
@@ -96,7 +96,9 @@
         """Return how often a peer's heartbeats are needed."""
 
     @abstractmethod
-    def take_beat_reply(self, reply: BeatReply, asked_at: Boottime) -> None:
+    def take_heartbeat_reply(
+        self, reply: HeartbeatReply, asked_at: Boottime
+    ) -> None:
         """Take in the answer to a heartbeat."""
 
     @abstractmethod
@@ -109,7 +111,7 @@
         """Take in a primary's log end and when it was asked for."""
 
     @abstractmethod
-    def note_reach(self, peer: ProxyId, *, is_reached: bool) -> None:
+    def note_reachability(self, peer: ProxyId, *, is_reached: bool) -> None:
         """Take in that a peer was lost or found."""
 
 
@@ -145,15 +147,17 @@
         self._echo = Boottime(0)
         self._backoff = Backoff(SHORTEST_PAUSE, LONGEST_PAUSE)
 
-    def is_heard(self) -> bool:
+    def is_alive(self) -> bool:
         """Tell whether the peer has answered of late."""
-        return self._channel is not None and self._measure_wait() < GONE_AFTER
+        return (
+            self._channel is not None and self._measure_wait() < PEER_LOST_AFTER
+        )
 
     def is_answering(self) -> bool:
         """Tell whether the peer has answered the latest heartbeats."""
         if self._channel is None:
             return False
-        return self._measure_wait() < MISSED_AFTER
+        return self._measure_wait() < HEARTBEAT_MISSED_AFTER
 
     def measure_silence(self) -> Seconds | None:
         """Return for how long the peer has been silent, None if it isn't.
@@ -204,7 +208,7 @@
     ) -> Result[Answer, Refusal]:
         """Have the peer run a call."""
         channel = self._channel
-        if channel is None or not self.is_heard():
+        if channel is None or not self.is_alive():
             return Err(self._refuse('does not answer'))
         asked_at = read_boottime()
         number, reply = self._begin(channel, call)
@@ -227,17 +231,17 @@
             return Err(self._judge(call, Cause.CONNECTION_LOST, 'no reply'))
         return frame.reply
 
-    async def ask_reach(
+    async def ask_reachability(
         self,
         group: GroupId,
         target: TargetId,
         limit: Seconds,
     ) -> bool:
         """Ask whether the peer reaches a target that leads its group."""
-        asked = Frame(0, reach=ReachQuestion(group, target))
+        asked = Frame(0, reach=ReachRequest(group, target))
         return _is_yes(await self._ask(asked, limit))
 
-    async def keep_lease(self, asked: KeptLease, limit: Seconds) -> bool:
+    async def keep_lease(self, asked: LeaseRenewal, limit: Seconds) -> bool:
         """Have the peer renew a lease in the store."""
         return _is_yes(await self._ask(Frame(0, kept_lease=asked), limit))
 
@@ -294,7 +298,7 @@
         self._channel = channel
         self._silent_since = None
         self._beats.clear()
-        self._events.note_reach(self.peer.name, is_reached=True)
+        self._events.note_reachability(self.peer.name, is_reached=True)
         async with TaskGroup() as tasks:
             beating = tasks.create_task(self._beat(channel))
             while (frame := await channel.receive()) is not None:
@@ -303,12 +307,12 @@
 
     async def _beat(self, channel: FrameChannel) -> None:
         is_first = True
-        while self._measure_wait() < GONE_AFTER:
+        while self._measure_wait() < PEER_LOST_AFTER:
             self._number += 1
-            beat = self._events.make_beat(
+            beat = self._events.make_heartbeat(
                 self.peer.name,
                 self._echo,
-                is_answering=self._measure_wait() < MISSED_AFTER,
+                is_answering=self._measure_wait() < HEARTBEAT_MISSED_AFTER,
             )
             if not is_first:
                 beat = replace(beat, sender=None)
@@ -320,16 +324,16 @@
 
     async def _wait_beat(self) -> None:
         """Wait until the next heartbeat is due, or an answer was missed."""
-        pace = self._events.find_pace(self.peer.name, self.owned)
+        pace = self._events.find_heartbeat_interval(self.peer.name, self.owned)
         due_at = read_clock() + pace
         self._awake.clear()
         while read_clock() < due_at and not self._awake.is_set():
             # A peer that is gone shows while its answer is awaited.
-            step = min(pace, GONE_AFTER) if self._beats else pace
+            step = min(pace, PEER_LOST_AFTER) if self._beats else pace
             with suppress(TimeoutError):
                 async with timeout_at(min(due_at, read_clock() + step)):
                     await self._awake.wait()
-            if self._measure_wait() >= GONE_AFTER:
+            if self._measure_wait() >= PEER_LOST_AFTER:
                 return
 
     def _begin(
@@ -369,14 +373,14 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(frame)
 
-    def _note_beat(self, reply: BeatReply, asked_at: Boottime) -> None:
+    def _note_beat(self, reply: HeartbeatReply, asked_at: Boottime) -> None:
         self._echo = Boottime(max(self._echo, reply.stamp))
         self.owned = {one.group: one for one in reply.owned}
         if reply.relayed is not None:
             self.relayed = {one.group: one for one in reply.relayed}
         self.is_stopping = reply.is_stopping
         self.reaches_store = reply.reaches_store
-        self._events.take_beat_reply(reply, asked_at)
+        self._events.take_heartbeat_reply(reply, asked_at)
 
     def _expect(self) -> tuple[int, 'Future[Frame]']:
         self._number += 1
@@ -388,13 +392,13 @@
         channel.close()
         self._channel = None
         wait = self._measure_wait()
-        if wait >= GONE_AFTER:
+        if wait >= PEER_LOST_AFTER:
             self._silent_since = Monotonic(read_clock() - wait)
         self.owned = {}
         self.relayed = {}
         for handed in self._feeds.values():
             handed.put_nowait(None)
-        self._events.note_reach(self.peer.name, is_reached=False)
+        self._events.note_reachability(self.peer.name, is_reached=False)
         lost = PeerUnreachable(self.peer.name, 'the connection broke')
         for reply in self._waiting.values():
             if not reply.done():
--- a/src/sedgeshunt/forwarding/messages.py
+++ b/src/sedgeshunt/forwarding/messages.py
@@ -29,14 +29,14 @@
     tip: Point | None
 
 
-class ReachQuestion(Struct, frozen=True):
+class ReachRequest(Struct, frozen=True):
     """Ask whether the receiver reaches a target that leads."""
 
     group: GroupId
     target: TargetId
 
 
-class KeptLease(Struct, frozen=True):
+class LeaseRenewal(Struct, frozen=True):
     """Name a lease that the receiver is to renew in the store."""
 
     lease: int
@@ -44,7 +44,7 @@
     era: Era
 
 
-class Beat(Struct, frozen=True):
+class Heartbeat(Struct, frozen=True):
     """Hold one heartbeat."""
 
     # Who sends it and how it is reached; None after a connection's first.
@@ -61,7 +61,7 @@
     gives_part: bool = False
 
 
-class BeatReply(Struct, frozen=True):
+class HeartbeatReply(Struct, frozen=True):
     """Hold the answer to a heartbeat."""
 
     # The replying instance's clock.
@@ -87,14 +87,14 @@
     call: StatementCall | None = None
     reply: Result[Answer, Refusal] | None = None
     tip: Point | None = None
-    beat: Beat | None = None
-    beat_reply: BeatReply | None = None
+    beat: Heartbeat | None = None
+    beat_reply: HeartbeatReply | None = None
     is_cancelled: bool = False
     # The caller has given this transaction up.
     undone: TransactionId | None = None
-    reach: ReachQuestion | None = None
+    reach: ReachRequest | None = None
     # Have the receiver renew this lease in the store.
-    kept_lease: KeptLease | None = None
+    kept_lease: LeaseRenewal | None = None
     # The answer to both.
     is_reached: bool | None = None
     # Have the receiver hand on what the store changes after this.
--- a/src/sedgeshunt/forwarding/server.py
+++ b/src/sedgeshunt/forwarding/server.py
@@ -12,12 +12,12 @@
 from sedgeshunt.execution.transactions import TransactionBook
 from sedgeshunt.forwarding.channel import FrameChannel
 from sedgeshunt.forwarding.messages import (
-    Beat,
-    BeatReply,
+    Heartbeat,
+    HeartbeatReply,
     Frame,
-    KeptLease,
+    LeaseRenewal,
     OwnedGroup,
-    ReachQuestion,
+    ReachRequest,
 )
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
@@ -34,7 +34,7 @@
 from sedgeshunt.statements.call import StatementCall
 
 
-class PeerDesk(ABC):
+class PeerRequestHandler(ABC):
     """Answer what peers ask."""
 
     @abstractmethod
@@ -59,11 +59,11 @@
         """Return the log end of a group that is owned here."""
 
     @abstractmethod
-    async def reaches(self, group: GroupId, target: TargetId) -> bool:
+    async def can_reach(self, group: GroupId, target: TargetId) -> bool:
         """Tell whether a target that leads its group is reached from here."""
 
     @abstractmethod
-    async def keep_lease(self, asked: KeptLease) -> bool:
+    async def keep_lease(self, asked: LeaseRenewal) -> bool:
         """Renew a peer's lease in the store; tell whether it goes on."""
 
     @abstractmethod
@@ -71,22 +71,22 @@
         """Count what a customer wants to begin at a peer."""
 
     @abstractmethod
-    def answer_beat(self, beat: Beat) -> BeatReply:
+    def answer_heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
         """Answer a heartbeat."""
 
     @abstractmethod
-    def hand_on(self, receive: ChangeReceiver, after: Revision) -> None:
+    def add_follower(self, receive: ChangeReceiver, after: Revision) -> None:
         """Hand a peer what the store changes after a revision."""
 
     @abstractmethod
-    def stop_handing(self, receive: ChangeReceiver) -> None:
+    def remove_follower(self, receive: ChangeReceiver) -> None:
         """Hand a peer nothing more."""
 
 
-class PeerConversation:
+class PeerConnectionHandler:
     """Serve one peer's connection."""
 
-    def __init__(self, channel: FrameChannel, desk: PeerDesk) -> None:
+    def __init__(self, channel: FrameChannel, desk: PeerRequestHandler) -> None:
         """Own what the peer begins here."""
         self._channel = channel
         self._desk = desk
@@ -108,7 +108,7 @@
                     task.cancel()
         finally:
             for receive in self._receivers.values():
-                self._desk.stop_handing(receive)
+                self._desk.remove_follower(receive)
             await self._book.undo_all()
 
     def _take(self, frame: Frame, tasks: TaskGroup) -> None:
@@ -125,7 +125,7 @@
         if frame.followed_from is not None:
             receive = partial(self._send_changes, number)
             self._receivers[number] = receive
-            self._desk.hand_on(receive, frame.followed_from)
+            self._desk.add_follower(receive, frame.followed_from)
         if frame.reach is not None:
             tasks.create_task(self._answer_reach(number, frame.reach))
         if frame.kept_lease is not None:
@@ -142,7 +142,7 @@
             self._running[number].cancel()
         receive = self._receivers.pop(number, None)
         if receive is not None:
-            self._desk.stop_handing(receive)
+            self._desk.remove_follower(receive)
 
     def _send_changes(self, number: int, changes: StoreChanges | None) -> None:
         is_over = changes is None
@@ -150,21 +150,21 @@
             Frame(number, changes=changes, is_cancelled=is_over),
         )
 
-    def _answer_beat(self, beat: Beat) -> BeatReply | None:
+    def _answer_beat(self, beat: Heartbeat) -> HeartbeatReply | None:
         self._sender = beat.sender or self._sender
         if self._sender is None:
             return None
-        reply = self._desk.answer_beat(replace(beat, sender=self._sender))
+        reply = self._desk.answer_heartbeat(replace(beat, sender=self._sender))
         if reply.relayed == self._relayed:
             return replace(reply, relayed=None)
         self._relayed = reply.relayed
         return reply
 
-    async def _answer_reach(self, number: int, asked: ReachQuestion) -> None:
-        is_reached = await self._desk.reaches(asked.group, asked.target)
+    async def _answer_reach(self, number: int, asked: ReachRequest) -> None:
+        is_reached = await self._desk.can_reach(asked.group, asked.target)
         self._channel.send(Frame(number, is_reached=is_reached))
 
-    async def _answer_keep(self, number: int, asked: KeptLease) -> None:
+    async def _answer_keep(self, number: int, asked: LeaseRenewal) -> None:
         is_kept = await self._desk.keep_lease(asked)
         self._channel.send(Frame(number, is_reached=is_kept))
 
--- a/src/sedgeshunt/membership/feed_desk.py
+++ b/src/sedgeshunt/membership/feed_desk.py
@@ -12,7 +12,7 @@
 LOOK_EVERY = Seconds(0.05)
 
 
-class FeedDesk:
+class FeedServer:
     """Serve followers while this instance itself hears the store."""
 
     # A follower takes each open feed for a sign that the store answers, and
@@ -24,14 +24,14 @@
         self._view = view
         self._lease = lease
 
-    def hand_on(self, receive: ChangeReceiver, after: Revision) -> None:
+    def add_follower(self, receive: ChangeReceiver, after: Revision) -> None:
         """Hand a peer what the store changes after a revision."""
         if self._hears_store():
             self._view.followers.add(receive, after)
         else:
             receive(None)
 
-    def stop(self, receive: ChangeReceiver) -> None:
+    def remove_follower(self, receive: ChangeReceiver) -> None:
         """Hand a peer nothing more."""
         self._view.followers.remove(receive)
 
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -7,12 +7,12 @@
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
 from sedgeshunt.execution.group_table import GroupTable
 from sedgeshunt.forwarding.link import (
-    FAST_BEATS,
-    SLOW_BEATS,
-    TIP_BEATS,
+    FAST_HEARTBEAT_INTERVAL,
+    SLOW_HEARTBEAT_INTERVAL,
+    TIP_HEARTBEAT_INTERVAL,
     LinkEvents,
 )
-from sedgeshunt.forwarding.messages import Beat, BeatReply, OwnedGroup
+from sedgeshunt.forwarding.messages import Heartbeat, HeartbeatReply, OwnedGroup
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.waiters import ChangeSignal
 from sedgeshunt.identifiers import Boottime, GroupId, ProxyId, Seconds
@@ -86,15 +86,15 @@
         self._groups = groups
         self._feed = feed
 
-    def make_beat(
+    def make_heartbeat(
         self,
         peer: ProxyId,
         echo: Boottime,
         *,
         is_answering: bool,
-    ) -> Beat:
+    ) -> Heartbeat:
         """Return the next heartbeat for a peer."""
-        return Beat(
+        return Heartbeat(
             self._own,
             self._promise(peer, is_answering=is_answering),
             echo,
@@ -103,7 +103,7 @@
             self._counters.gives_part(peer),
         )
 
-    def answer(self, beat: Beat) -> BeatReply:
+    def answer(self, beat: Heartbeat) -> HeartbeatReply:
         """Answer a peer's heartbeat."""
         if beat.sender is not None:
             self._meet(beat.sender)
@@ -112,7 +112,7 @@
             if beat.gives_part:
                 self._parts.note(beat.sender.name, beat.echo)
         self._view.observe_revision(beat.store_revision)
-        return BeatReply(
+        return HeartbeatReply(
             read_boottime(),
             tuple(self._list_owned()),
             self.is_stopping,
@@ -124,7 +124,7 @@
             self._configuration.copy_newer(beat.version),
         )
 
-    def find_pace(
+    def find_heartbeat_interval(
         self,
         peer: ProxyId,
         owned: Mapping[GroupId, OwnedGroup],
@@ -132,23 +132,25 @@
         """Return how often a peer's heartbeats are needed."""
         # While the store is silent, peers alone tell who is there.
         if not self._lease.is_fresh():
-            return FAST_BEATS
+            return FAST_HEARTBEAT_INTERVAL
         groups = {*owned, *self._list_owned_by(peer)}
         # Promises bind for less than a second.
         if any(map(self._circle.is_candidate, groups)):
-            return FAST_BEATS
+            return FAST_HEARTBEAT_INTERVAL
         # Log ends prove the age of what is read here, and nothing else does;
         # that the store answers is known by the feed. Of 195 instances 15 read
         # a group's replicas.
         if self._feed.is_present(peer) or any(map(self._reads, groups)):
-            return TIP_BEATS
+            return TIP_HEARTBEAT_INTERVAL
         # So is the part of limits that a peer counts for this instance.
         if self._configuration.has_customers():
             if peer == self._counters.find_home():
-                return TIP_BEATS
-        return SLOW_BEATS
+                return TIP_HEARTBEAT_INTERVAL
+        return SLOW_HEARTBEAT_INTERVAL
 
-    def take_beat_reply(self, reply: BeatReply, asked_at: Boottime) -> None:
+    def take_heartbeat_reply(
+        self, reply: HeartbeatReply, asked_at: Boottime
+    ) -> None:
         """Take in the answer to a heartbeat."""
         for owned in reply.owned:
             if owned.tip is not None:
@@ -164,7 +166,7 @@
         """Take in a primary's log end and when it was asked for."""
         self._groups.take_tip(group, asked_at, tip)
 
-    def note_reach(self, peer: ProxyId, *, is_reached: bool) -> None:
+    def note_reachability(self, peer: ProxyId, *, is_reached: bool) -> None:
         """Take in that a peer was lost or found."""
         kind = (
             DecisionKind.PEER_REGAINED if is_reached else DecisionKind.PEER_LOST
@@ -211,6 +213,6 @@
                 )
 
     def _list_relayed(self) -> Iterator[OwnedGroup]:
-        for link in self._neighbours.list_heard():
+        for link in self._neighbours.list_alive():
             for owned in link.owned.values():
                 yield OwnedGroup(owned.group, owned.token, None)
--- a/src/sedgeshunt/membership/isolation.py
+++ b/src/sedgeshunt/membership/isolation.py
@@ -4,7 +4,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
-from sedgeshunt.forwarding.link import MISSED_AFTER
+from sedgeshunt.forwarding.link import HEARTBEAT_MISSED_AFTER
 from sedgeshunt.identifiers import Monotonic, Seconds, ZoneId
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.ownership.lease import InstanceLease
@@ -100,7 +100,7 @@
             self._asked_at = read_clock()
             self._asked_again_at = self._asked_at
             self._neighbours.wake_all()
-        if read_clock() - self._asked_at < MISSED_AFTER:
+        if read_clock() - self._asked_at < HEARTBEAT_MISSED_AFTER:
             return False
         self._ask_again()
         return is_overdue and not self._hears_store()
@@ -112,7 +112,10 @@
         # would count until its next heartbeat, up to a second later.
         now = read_clock()
         since = now - (self._asked_at or now)
-        if since > ASK_FOR or now - self._asked_again_at < MISSED_AFTER:
+        if (
+            since > ASK_FOR
+            or now - self._asked_again_at < HEARTBEAT_MISSED_AFTER
+        ):
             return
         self._asked_again_at = now
         for link in self._neighbours.list_answering():
--- a/src/sedgeshunt/membership/neighbours.py
+++ b/src/sedgeshunt/membership/neighbours.py
@@ -81,14 +81,14 @@
     def find_link(self, name: ProxyId) -> PeerLink | None:
         """Return the link to an instance that answers, None without one."""
         known = self._known.get(name)
-        if known is None or not known.link.is_heard():
+        if known is None or not known.link.is_alive():
             return None
         return known.link
 
-    def list_heard(self) -> Iterator[PeerLink]:
+    def list_alive(self) -> Iterator[PeerLink]:
         """Yield the links to the instances that answer."""
         for known in self._known.values():
-            if known.link.is_heard():
+            if known.link.is_alive():
                 yield known.link
 
     def list_answering(self) -> list[PeerLink]:
@@ -148,7 +148,7 @@
     def _note_unlisted(self, name: ProxyId) -> None:
         known = self._known[name]
         now = read_clock()
-        if known.link.is_heard() or known.unlisted_since is None:
+        if known.link.is_alive() or known.unlisted_since is None:
             known.unlisted_since = now
         elif now - known.unlisted_since > FORGET_AFTER:
             self._forget(name)
--- a/src/sedgeshunt/node_service.py
+++ b/src/sedgeshunt/node_service.py
@@ -19,7 +19,7 @@
 from sedgeshunt.execution.keeper_parts import KeeperParts
 from sedgeshunt.execution.replacement import PrimaryReplacement
 from sedgeshunt.forwarding.channel import FrameChannel, FrameConnector
-from sedgeshunt.forwarding.server import PeerConversation
+from sedgeshunt.forwarding.server import PeerConnectionHandler
 from sedgeshunt.groups.orders import PromotionService
 from sedgeshunt.identifiers import (
     Boottime,
@@ -34,7 +34,7 @@
 )
 from sedgeshunt.membership.circle import Circle
 from sedgeshunt.membership.counters import BORROW_LIMIT, LinkedCounters
-from sedgeshunt.membership.feed_desk import FeedDesk
+from sedgeshunt.membership.feed_desk import FeedServer
 from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.membership.isolation import Isolation
 from sedgeshunt.membership.neighbours import Neighbours
@@ -175,7 +175,7 @@
         )
         self._feed = ZoneFeed(self.entry, circle, self._neighbours)
         self._view.bind(self._feed)
-        self._feeds = FeedDesk(self._view, self._lease)
+        self._feeds = FeedServer(self._view, self._lease)
         self._counters = LinkedCounters(self.entry, self._neighbours)
         self._counter = PartCounter(
             self.entry.name,
@@ -341,7 +341,7 @@
 
     async def serve_peer(self, channel: FrameChannel) -> None:
         """Serve one peer's connection."""
-        await PeerConversation(channel, self._desk).run()
+        await PeerConnectionHandler(channel, self._desk).run()
 
     async def hand_over(self, limit: Seconds) -> None:
         """Give up all that is owned here, each group to the best peer.
@@ -378,7 +378,7 @@
             return access is not None and access.owner is not None
         others = (
             link.peer.name
-            for link in self._neighbours.list_heard()
+            for link in self._neighbours.list_alive()
             if link.reaches_store
         )
         return all(self.entry.name < other for other in others)
--- a/src/sedgeshunt/statements/owners.py
+++ b/src/sedgeshunt/statements/owners.py
@@ -105,12 +105,12 @@
         await self._changed.wait(deadline)
 
     def _hears_any(self) -> bool:
-        return any(True for _ in self._neighbours.list_heard())
+        return any(True for _ in self._neighbours.list_alive())
 
     def _find_newest(self, group: GroupId) -> PeerLink | None:
         heard = [
             (link.owned[group].token, link)
-            for link in self._neighbours.list_heard()
+            for link in self._neighbours.list_alive()
             if group in link.owned
         ]
         stored = self._find_stored(group)
@@ -162,7 +162,7 @@
 
     def _find_relay(self, group: GroupId) -> CallSite | None:
         # The way to the owner may be cut here and open from a peer.
-        for link in self._neighbours.list_heard():
+        for link in self._neighbours.list_alive():
             if group in link.relayed:
                 return PeerSite(link, is_relay=True)
         return None
--- a/src/sedgeshunt/statements/peer_desk.py
+++ b/src/sedgeshunt/statements/peer_desk.py
@@ -19,8 +19,12 @@
 from sedgeshunt.execution.statuses import STATUS_LIMIT, read_status
 from sedgeshunt.execution.transactions import TransactionBook
 from sedgeshunt.forwarding.link import PeerLink
-from sedgeshunt.forwarding.messages import Beat, BeatReply, KeptLease
-from sedgeshunt.forwarding.server import PeerDesk
+from sedgeshunt.forwarding.messages import (
+    Heartbeat,
+    HeartbeatReply,
+    LeaseRenewal,
+)
+from sedgeshunt.forwarding.server import PeerRequestHandler
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
     Era,
@@ -33,7 +37,7 @@
     TransactionId,
     ZoneId,
 )
-from sedgeshunt.membership.feed_desk import FeedDesk
+from sedgeshunt.membership.feed_desk import FeedServer
 from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.ownership.lease import LeaseRelay
@@ -59,7 +63,7 @@
 KEEP_LIMIT = Seconds(0.2)
 
 
-class LocalDesk(PeerDesk):
+class LocalDesk(PeerRequestHandler):
     """Run peers' calls, or pass them on, and answer their questions."""
 
     def __init__(
@@ -70,7 +74,7 @@
         configuration: LiveConfiguration,
         connector: TargetSessionConnector,
         store: CurrentStore,
-        feeds: FeedDesk,
+        feeds: FeedServer,
         gate: CountedGate,
     ) -> None:
         """Work with what this proxy has."""
@@ -115,7 +119,7 @@
         """Undo a peer's transaction."""
         await book.undo(transaction)
 
-    async def reaches(self, group: GroupId, target: TargetId) -> bool:
+    async def can_reach(self, group: GroupId, target: TargetId) -> bool:
         """Tell whether a target that leads its group is reached from here."""
         access = self._groups.get(group)
         members = self._configuration.find_members(group)
@@ -128,7 +132,7 @@
         status = await read_status(self._connector, known)
         return status is not None and status.role is LogRole.PRIMARY
 
-    async def keep_lease(self, asked: KeptLease) -> bool:
+    async def keep_lease(self, asked: LeaseRenewal) -> bool:
         """Renew a peer's lease in the store; tell whether it goes on."""
         self._store.observe_era(asked.era)
         if asked.era != self._store.era:
@@ -146,17 +150,17 @@
         """Return the log end of a group that is owned here."""
         return self._groups.read_tip(group)
 
-    def answer_beat(self, beat: Beat) -> BeatReply:
+    def answer_heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
         """Answer a heartbeat."""
         return self._heartbeats.answer(beat)
 
-    def hand_on(self, receive: ChangeReceiver, after: Revision) -> None:
+    def add_follower(self, receive: ChangeReceiver, after: Revision) -> None:
         """Hand a peer what the store changes after a revision."""
-        self._feeds.hand_on(receive, after)
+        self._feeds.add_follower(receive, after)
 
-    def stop_handing(self, receive: ChangeReceiver) -> None:
+    def remove_follower(self, receive: ChangeReceiver) -> None:
         """Hand a peer nothing more."""
-        self._feeds.stop(receive)
+        self._feeds.remove_follower(receive)
 
     async def _relay(
         self,
@@ -211,7 +215,7 @@
         links = dict(self._list_able())
         reached = await gather(
             *(
-                link.ask_reach(group, target, STATUS_LIMIT)
+                link.ask_reachability(group, target, STATUS_LIMIT)
                 for link in links.values()
             ),
         )
@@ -232,7 +236,7 @@
 
     async def keep_lease(self, lease: int, era: Era) -> bool:
         """Tell whether a peer has renewed a lease of the store's era."""
-        asked = KeptLease(lease, era)
+        asked = LeaseRenewal(lease, era)
         for _, link in self._list_able():
             if await link.keep_lease(asked, KEEP_LIMIT):
                 return True
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.forwarding.messages import Beat, BeatReply
+from sedgeshunt.forwarding.messages import Heartbeat, HeartbeatReply
 from sedgeshunt.identifiers import GroupId, Incarnation, ProxyId, ZoneId
 from sedgeshunt.membership.readers import (
     RESERVED_CONNECTIONS,
@@ -184,7 +184,7 @@
     heard: Counter[tuple[str, str]] = Counter()
     answer = Heartbeats.answer
 
-    def count(heartbeats: Heartbeats, beat: Beat) -> BeatReply:
+    def count(heartbeats: Heartbeats, beat: Heartbeat) -> HeartbeatReply:
         reply = answer(heartbeats, beat)
         assert beat.sender is not None
         heard[heartbeats.name, beat.sender.name] += 1
