--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -19,7 +19,7 @@
     ProxyId,
     ZoneId,
 )
-from sedgeshunt.membership.gathering import count_homes, rank_readers
+from sedgeshunt.membership.affinity import count_affinity_readers, rank_readers
 from sedgeshunt.membership.readers import ReaderPlan, ReaderShare, plan_readers
 from sedgeshunt.ownership.claims import ClaimContext, GroupClaim
 from sedgeshunt.registry.configuration import LiveConfiguration
@@ -40,10 +40,13 @@
         instances: Sequence[InstanceEntry],
         limit: int,
         *,
-        gathers: bool,
+        prefers_own_zone: bool,
     ) -> bool:
         """Tell whether the plan still holds."""
-        is_same = self.limit == limit and self.plan.gathers == gathers
+        is_same = (
+            self.limit == limit
+            and self.plan.prefers_own_zone == prefers_own_zone
+        )
         return is_same and self.instances is instances
 
 
@@ -164,20 +167,22 @@
         readers = self._plan_readers(members.group).readers
         ranked = rank_readers(name, customer, zones, readers)
         share = self._configuration.find_part(customer)
-        return ranked, count_homes(share, len(ranked))
+        return ranked, count_affinity_readers(share, len(ranked))
 
     def _plan_readers(self, group: Group) -> ReaderPlan:
         # Each read asks; the answer changes with the list of instances.
         instances = self._claims.list_instances()
         limit = group.connection_limit
         known = self._plans.get(group.name)
-        gathers = self._configuration.has_customers()
-        if known is None or not known.is_for(instances, limit, gathers=gathers):
+        prefers_own_zone = self._configuration.has_customers()
+        if known is None or not known.is_for(
+            instances, limit, prefers_own_zone=prefers_own_zone
+        ):
             plan = plan_readers(
                 group.name,
                 instances,
                 limit,
-                gathers=gathers,
+                prefers_own_zone=prefers_own_zone,
             )
             known = _KnownPlan(instances, limit, plan)
             self._plans[group.name] = known
--- a/src/sedgeshunt/membership/gathering.py
+++ b/src/sedgeshunt/membership/affinity.py
@@ -33,7 +33,7 @@
     return [name for row in rows for name in row if name is not None]
 
 
-def count_homes(share: float, readers: int) -> int:
+def count_affinity_readers(share: float, readers: int) -> int:
     """Return over how many readers a customer's reads are spread.
 
     `share` is the customer's part of all that may be asked.
--- a/src/sedgeshunt/membership/counters.py
+++ b/src/sedgeshunt/membership/counters.py
@@ -14,7 +14,7 @@
 from sedgeshunt.customers.rights import PartGiven
 from sedgeshunt.groups.ranks import weigh
 from sedgeshunt.identifiers import Boottime, ProxyId, Seconds
-from sedgeshunt.membership.drawing import choose_counters, sort_by_zone
+from sedgeshunt.membership.rendezvous import choose_counters, group_by_zone
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.registry.entries import InstanceEntry
 
@@ -109,7 +109,7 @@
     near = choose_counters(own.zone, instances)
     far = [
         name
-        for zone in sorted(sort_by_zone(instances).keys() - {own.zone})
+        for zone in sorted(group_by_zone(instances).keys() - {own.zone})
         for name in choose_counters(zone, instances)
     ]
     return CounterPlan(_spread(own.name, near), _spread(own.name, far), fleet)
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -16,7 +16,7 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.waiters import ChangeSignal
 from sedgeshunt.identifiers import Boottime, GroupId, ProxyId, Seconds
-from sedgeshunt.membership.circle import Circle
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.membership.counters import LinkedCounters
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.membership.zone_feed import ZoneFeed
@@ -47,14 +47,14 @@
         held: PromisesHeld,
         releases: Releases,
         records: GroupRecords,
-        circle: Circle,
+        topology: Topology,
         decisions: DecisionLog,
     ) -> None:
         """Exchange nothing before bind()."""
         self.owners_changed = ChangeSignal()
         self.is_stopping = False
         # Instances that connected here while the store was away.
-        self.met: list[InstanceEntry] = []
+        self.new_instances: list[InstanceEntry] = []
         self._own = own
         self._view = view
         self._configuration = configuration
@@ -62,7 +62,7 @@
         self._made = made
         self._held = held
         self._records = records
-        self._circle = circle
+        self._topology = topology
         self._releases = releases
         self._decisions = decisions
 
@@ -135,12 +135,12 @@
             return FAST_HEARTBEAT_INTERVAL
         groups = {*owned, *self._list_owned_by(peer)}
         # Promises bind for less than a second.
-        if any(map(self._circle.is_candidate, groups)):
+        if any(map(self._topology.is_candidate, groups)):
             return FAST_HEARTBEAT_INTERVAL
         # Log ends prove the age of what is read here, and nothing else does;
         # that the store answers is known by the feed. Of 195 instances 15 read
         # a group's replicas.
-        if self._feed.is_present(peer) or any(map(self._reads, groups)):
+        if self._feed.is_source(peer) or any(map(self._reads, groups)):
             return TIP_HEARTBEAT_INTERVAL
         # So is the part of limits that a peer counts for this instance.
         if self._configuration.has_customers():
@@ -188,8 +188,8 @@
     def _meet(self, entry: InstanceEntry) -> None:
         # Without the store, an instance that starts is known only by those
         # that connect to it; it learns the configuration from them.
-        if not self._lease.reaches_store() and entry not in self.met:
-            self.met.append(entry)
+        if not self._lease.reaches_store() and entry not in self.new_instances:
+            self.new_instances.append(entry)
             self._groups.changed.set()
 
     def _reads(self, group: GroupId) -> bool:
--- a/src/sedgeshunt/membership/isolation.py
+++ b/src/sedgeshunt/membership/isolation.py
@@ -25,7 +25,7 @@
 ASK_FOR = Seconds(1)
 
 
-class Isolation:
+class IsolationDetector:
     """Notice that neither the store nor any group's owner is reached."""
 
     # A part of the network without the store can't have owners for long, as
@@ -60,7 +60,7 @@
         self._suspected_since: Monotonic | None = None
         self._asked_at: Monotonic | None = None
         self._asked_again_at = Monotonic(0)
-        self.is_noted = False
+        self.is_recorded = False
 
     def is_isolated(self) -> bool:
         """Tell whether callers are served better elsewhere."""
@@ -70,7 +70,7 @@
         """Look until cancelled."""
         while True:
             self._look()
-            if self.is_isolated() != self.is_noted:
+            if self.is_isolated() != self.is_recorded:
                 self._note()
             await sleep(LOOK_EVERY)
 
@@ -141,10 +141,10 @@
         )
 
     def _note(self) -> None:
-        self.is_noted = not self.is_noted
+        self.is_recorded = not self.is_recorded
         kind = (
             DecisionKind.ZONE_CUT
-            if self.is_noted
+            if self.is_recorded
             else DecisionKind.ZONE_REJOINED
         )
         reasons = {'zone': self._zone}
--- a/src/sedgeshunt/membership/mesh.py
+++ b/src/sedgeshunt/membership/mesh.py
@@ -8,7 +8,7 @@
 
 from sedgeshunt.identifiers import Revision, Seconds
 from sedgeshunt.membership.choice import KnownPeer
-from sedgeshunt.membership.links import PeerLink, PeerState
+from sedgeshunt.membership.peer_clients import PeerClient, PeerState
 from sedgeshunt.ports import Address, PeerConnector, ProxyReport
 
 IDLE_LIMIT = Seconds(30)
@@ -37,19 +37,19 @@
         self._connector = connector
         self._on_report = on_report
         self._random = random
-        self._links: dict[Address, PeerLink] = {}
+        self._links: dict[Address, PeerClient] = {}
         self._tasks: dict[Address, Task[None]] = {}
 
     def is_regular(self, address: Address) -> bool:
         """Tell whether the peer is asked regularly."""
         return address in self._tasks
 
-    def find_link(self, address: Address) -> PeerLink:
+    def find_client(self, address: Address) -> PeerClient:
         """Return the link to a peer, a new one if there is none."""
         link = self._links.get(address)
         if link is None:
             on_report = partial(self._on_report, address)
-            link = PeerLink(address, self._connector, on_report, self._random)
+            link = PeerClient(address, self._connector, on_report, self._random)
             self._links[address] = link
         return link
 
@@ -88,7 +88,7 @@
     def tend(self, wanted: set[Address], tasks: TaskGroup) -> None:
         """Ask exactly the `wanted` peers regularly, drop idle links."""
         for address in wanted - self._tasks.keys():
-            link = self.find_link(address)
+            link = self.find_client(address)
             self._tasks[address] = tasks.create_task(link.run())
         for dropped in self._tasks.keys() - wanted:
             self._tasks.pop(dropped).cancel()
--- a/src/sedgeshunt/membership/neighbours.py
+++ b/src/sedgeshunt/membership/neighbours.py
@@ -9,7 +9,7 @@
 from sedgeshunt.forwarding.channel import FrameConnector
 from sedgeshunt.forwarding.link import LinkEvents, PeerLink
 from sedgeshunt.identifiers import GroupId, Monotonic, ProxyId, Seconds
-from sedgeshunt.membership.circle import Circle
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.ownership.claims import KnownPeers
 from sedgeshunt.registry.entries import InstanceEntry, read_entry
 from sedgeshunt.registry.keys import INSTANCES_PREFIX
@@ -37,14 +37,14 @@
         self,
         own: InstanceEntry,
         view: StoreView,
-        circle: Circle,
+        topology: Topology,
         connector: FrameConnector,
         events: LinkEvents,
     ) -> None:
         """Know nobody yet."""
         self._own = own
         self._view = view
-        self._circle = circle
+        self._topology = topology
         self._listed: list[InstanceEntry] | None = None
         view.listen(self._note_change)
         self._connector = connector
@@ -116,10 +116,10 @@
         link = self.find_link(owner)
         return link is not None and group in link.owned
 
-    def follow(self, tasks: TaskGroup) -> None:
+    def update(self, tasks: TaskGroup) -> None:
         """Take in the instances that the store lists now."""
         instances = self.list_instances()
-        needed = self._circle.choose(instances) - {self._own.name}
+        needed = self._topology.choose_neighbours(instances) - {self._own.name}
         listed = {entry.name: entry for entry in instances}
         for name in tuple(self._known):
             if name not in listed:
@@ -127,9 +127,9 @@
             elif name not in needed:
                 self._note_unneeded(name)
         for name in needed & listed.keys():
-            self.meet(listed[name], tasks)
+            self.connect(listed[name], tasks)
 
-    def meet(self, entry: InstanceEntry, tasks: TaskGroup) -> None:
+    def connect(self, entry: InstanceEntry, tasks: TaskGroup) -> None:
         """Keep in touch with an instance from now on."""
         known = self._known.get(entry.name)
         if known is not None and known.link.peer.address == entry.address:
--- a/src/sedgeshunt/membership/links.py
+++ b/src/sedgeshunt/membership/peer_clients.py
@@ -35,7 +35,7 @@
     UNREACHABLE = 'unreachable'
 
 
-class PeerLink:
+class PeerClient:
     """Own the connection to one peer and what it answered."""
 
     def __init__(
--- a/src/sedgeshunt/membership/peers.py
+++ b/src/sedgeshunt/membership/peers.py
@@ -14,7 +14,7 @@
 from sedgeshunt.identifiers import GroupId, ProxyId, Revision, Seconds, ZoneId
 from sedgeshunt.membership.choice import KnownPeer, choose_peers, rank_peers
 from sedgeshunt.membership.directory import PeerDirectory
-from sedgeshunt.membership.links import REPORT_EVERY, PeerState
+from sedgeshunt.membership.peer_clients import REPORT_EVERY, PeerState
 from sedgeshunt.membership.mesh import PeerMesh, PeerView
 from sedgeshunt.membership.zones import ZoneWatch
 from sedgeshunt.ports import (
@@ -83,7 +83,7 @@
             for peer in self._directory.list_peers()
         ]
 
-    def live_proxies(self) -> list[ProxyId]:
+    def list_live_proxies(self) -> list[ProxyId]:
         """List the other proxies that nothing speaks against, by name."""
         # Not hearing of a peer that is asked only on demand proves nothing;
         # it counts as live until its own silence, its word or the list says
@@ -110,7 +110,7 @@
         peer = self._mesh.choose_source(self.list_peers(), known)
         if peer is None:
             return None
-        link = self._mesh.find_link(peer.address)
+        link = self._mesh.find_client(peer.address)
         try:
             return await link.call(
                 lambda connection: connection.copy_configuration(known),
@@ -135,7 +135,7 @@
         peer: KnownPeer,
         group: GroupId,
     ) -> PrimaryReport | None:
-        link = self._mesh.find_link(peer.address)
+        link = self._mesh.find_client(peer.address)
         try:
             return await link.call(
                 lambda connection: connection.report_primary(group),
@@ -150,7 +150,7 @@
         name: str,
         permits: Semaphore,
     ) -> None:
-        link = self._mesh.find_link(peer.address)
+        link = self._mesh.find_client(peer.address)
         async with permits:
             try:
                 await link.call(
@@ -174,7 +174,8 @@
         return [
             peer
             for peer in panel
-            if self._mesh.find_link(peer.address).failures <= TOLERATED_FAILURES
+            if self._mesh.find_client(peer.address).failures
+            <= TOLERATED_FAILURES
         ]
 
     def _choose_regular(self) -> set[Address]:
--- a/src/sedgeshunt/membership/readers.py
+++ b/src/sedgeshunt/membership/readers.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
-from sedgeshunt.membership.drawing import rank_instances, sort_by_zone
+from sedgeshunt.membership.rendezvous import rank_instances, group_by_zone
 from sedgeshunt.registry.entries import InstanceEntry
 
 # Instances of each zone that read a group's replicas at the most: one may be
@@ -37,9 +37,9 @@
 
     readers: Mapping[ZoneId, tuple[ProxyId, ...]]
     # Connections to each replica for all readers together.
-    open_to_all: int
+    total_connections: int
     # Most connections to a replica belong to the readers of its own zone.
-    gathers: bool = False
+    prefers_own_zone: bool = False
 
     def list_names(self) -> tuple[ProxyId, ...]:
         """List the readers of all zones."""
@@ -49,11 +49,11 @@
         """Return a reader's share of a replica, by their zones."""
         near = len(self.readers.get(target, ()))
         count = len(self.list_names())
-        for_near = self.open_to_all - (count - near) * AWAY_SHARE
-        if self.gathers and near and for_near > near * AWAY_SHARE:
+        for_near = self.total_connections - (count - near) * AWAY_SHARE
+        if self.prefers_own_zone and near and for_near > near * AWAY_SHARE:
             connections = for_near // near if reader == target else AWAY_SHARE
             return ReaderShare(connections, near)
-        equal = self.open_to_all // max(1, count)
+        equal = self.total_connections // max(1, count)
         return ReaderShare(max(1, equal), count)
 
 
@@ -62,21 +62,23 @@
     instances: Sequence[InstanceEntry],
     limit: int,
     *,
-    gathers: bool = False,
+    prefers_own_zone: bool = False,
 ) -> ReaderPlan:
     """Choose who reads replicas that take `limit` connections each.
 
     Each instance finds the same by itself; one that comes or goes changes the
     readers of its own zone only.
     """
-    open_to_all = max(1, limit - RESERVED_CONNECTIONS)
-    zones = sort_by_zone(instances)
+    total_connections = max(1, limit - RESERVED_CONNECTIONS)
+    zones = group_by_zone(instances)
     per_zone = READERS_PER_ZONE
     if zones:
-        most = open_to_all // SMALLEST_SHARE // len(zones)
+        most = total_connections // SMALLEST_SHARE // len(zones)
         per_zone = min(per_zone, max(1, most))
     chosen = map(partial(_choose_readers, group, per_zone), zones.values())
-    return ReaderPlan(dict(zip(zones, chosen)), open_to_all, gathers)
+    return ReaderPlan(
+        dict(zip(zones, chosen)), total_connections, prefers_own_zone
+    )
 
 
 def _choose_readers(
--- a/src/sedgeshunt/membership/registration.py
+++ b/src/sedgeshunt/membership/registration.py
@@ -10,7 +10,7 @@
 from sedgeshunt.registry.store_view import StoreView
 
 
-class ViewedRegistration(Registration):
+class StoreViewRegistration(Registration):
     """Look for this process in the view of the store."""
 
     def __init__(self, view: StoreView, own: InstanceEntry) -> None:
--- a/src/sedgeshunt/membership/drawing.py
+++ b/src/sedgeshunt/membership/rendezvous.py
@@ -33,7 +33,7 @@
     return _choose('counters', zone, instances)[:COUNTERS_PER_ZONE]
 
 
-def sort_by_zone(
+def group_by_zone(
     instances: Iterable[InstanceEntry],
 ) -> dict[ZoneId, list[InstanceEntry]]:
     """Return the instances of each zone."""
--- a/src/sedgeshunt/membership/rotation.py
+++ b/src/sedgeshunt/membership/rotation.py
@@ -7,12 +7,12 @@
 # a yes; it asks each second.
 MISSES = 2
 # By then it has done so, should its questions not get through to here.
-LONGEST_ROTATION = Seconds(2.2)
+MAX_REMOVAL_TIME = Seconds(2.2)
 # What it has just been told takes a moment to act on.
 SETTLE_TIME = Seconds(0.05)
 
 
-class Rotation:
+class BalancerRotation:
     """Follow what the balancer was told."""
 
     # Callers that are sent away any sooner come back to the same place; later,
@@ -43,13 +43,13 @@
         if self._misses == MISSES:
             self._out_since = read_clock()
 
-    def is_left_out(self) -> bool:
+    def is_removed(self) -> bool:
         """Tell whether callers that connect now are led elsewhere."""
         now = read_clock()
         since = self._unready_since
         if since is None:
             return False
-        if now - since > LONGEST_ROTATION:
+        if now - since > MAX_REMOVAL_TIME:
             return True
         out_since = self._out_since
         return out_since is not None and now - out_since >= SETTLE_TIME
--- a/src/sedgeshunt/membership/circle.py
+++ b/src/sedgeshunt/membership/topology.py
@@ -7,11 +7,11 @@
 
 from sedgeshunt.configuration.objects import Group
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
-from sedgeshunt.membership.drawing import (
+from sedgeshunt.membership.rendezvous import (
     choose_counters,
     choose_watchers,
     rank_instances,
-    sort_by_zone,
+    group_by_zone,
 )
 from sedgeshunt.membership.readers import plan_readers
 from sedgeshunt.ownership.records import GroupRecords
@@ -33,7 +33,7 @@
     names: tuple[ProxyId, ...]
 
 
-class Circle:
+class Topology:
     """Know the part of the fleet that one instance has to do with."""
 
     def __init__(
@@ -48,7 +48,9 @@
         self._records = records
         self._watchers = _KnownWatchers((), ())
 
-    def choose(self, instances: Sequence[InstanceEntry]) -> frozenset[ProxyId]:
+    def choose_neighbours(
+        self, instances: Sequence[InstanceEntry]
+    ) -> frozenset[ProxyId]:
         """Return the instances to keep in touch with."""
         if len(instances) <= SMALL_FLEET:
             return frozenset(entry.name for entry in instances)
@@ -99,7 +101,7 @@
         # Whoever may be cut off from the counters of its own zone asks those of
         # others; and counters lend each other what is left.
         if self._configuration.has_customers():
-            for zone in sort_by_zone(instances):
+            for zone in group_by_zone(instances):
                 yield from choose_counters(zone, instances)
 
     def _list_partners(
@@ -120,7 +122,7 @@
             group.name,
             instances,
             group.connection_limit,
-            gathers=self._configuration.has_customers(),
+            prefers_own_zone=self._configuration.has_customers(),
         )
         for zone in self._list_reading_zones(group.name):
             yield from plan.readers.get(zone, ())
@@ -139,6 +141,6 @@
     instances: Sequence[InstanceEntry],
 ) -> Iterator[ProxyId]:
     others = [entry for entry in instances if entry.name != own]
-    for members in sort_by_zone(others).values():
+    for members in group_by_zone(others).values():
         ranked = rank_instances(f'witnesses of {own}', members)
         yield from (entry.name for entry in ranked[:WITNESSES_PER_ZONE])
--- a/src/sedgeshunt/membership/zone_feed.py
+++ b/src/sedgeshunt/membership/zone_feed.py
@@ -6,7 +6,7 @@
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.groups.ranks import weigh
 from sedgeshunt.identifiers import Monotonic, ProxyId, Revision, Seconds
-from sedgeshunt.membership.circle import Circle
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.ownership.lease import StoreWitness
 from sedgeshunt.registry.changes import StoreChanges
@@ -25,14 +25,14 @@
     def __init__(
         self,
         own: InstanceEntry,
-        circle: Circle,
+        topology: Topology,
         neighbours: Neighbours,
     ) -> None:
         """Follow nobody yet."""
         self._own = own
-        self._circle = circle
+        self._topology = topology
         self._neighbours = neighbours
-        self._present: PeerLink | None = None
+        self._source: PeerLink | None = None
         self._is_open = False
         self._distrusted: dict[ProxyId, Monotonic] = {}
 
@@ -49,7 +49,7 @@
         link = self._choose()
         if link is None:
             return
-        self._present = link
+        self._source = link
         try:
             async for changes in link.follow_changes(after):
                 # Only a peer that watches the store itself sends any.
@@ -62,25 +62,23 @@
 
     def distrust(self) -> None:
         """Ask the present peer no more for a while."""
-        if self._present is not None:
-            name = self._present.peer.name
+        if self._source is not None:
+            name = self._source.peer.name
             self._distrusted[name] = Monotonic(read_clock() + DISTRUST_FOR)
 
     def may_own(self) -> bool:
         """Tell whether this instance may claim a group, or owns one."""
-        return self._circle.is_candidate_of_any()
+        return self._topology.is_candidate_of_any()
 
     def hears_store(self) -> bool:
         """Tell whether a peer that watches the store hands changes on."""
-        present = self._present
-        return self._is_open and present is not None and present.is_answering()
+        source = self._source
+        return self._is_open and source is not None and source.is_answering()
 
-    def is_present(self, peer: ProxyId) -> bool:
+    def is_source(self, peer: ProxyId) -> bool:
         """Tell whether a peer hands changes on to here."""
-        present = self._present
-        return (
-            self._is_open and present is not None and present.peer.name == peer
-        )
+        source = self._source
+        return self._is_open and source is not None and source.peer.name == peer
 
     def _choose(self) -> PeerLink | None:
         if self._must_watch():
@@ -88,14 +86,14 @@
         instances = self._neighbours.list_instances()
         links = map(
             self._neighbours.find_link,
-            self._circle.list_watchers(instances),
+            self._topology.list_watchers(instances),
         )
         able = [link for link in links if link and self._is_able(link)]
         # All followers of a zone are shared out among its watchers.
         return max(able, key=self._weigh, default=None)
 
     def _must_watch(self) -> bool:
-        return self._circle.is_watcher(self._neighbours.list_instances())
+        return self._topology.is_watcher(self._neighbours.list_instances())
 
     def _is_able(self, link: PeerLink) -> bool:
         until = self._distrusted.get(link.peer.name, Monotonic(0))
--- a/src/sedgeshunt/membership/zones.py
+++ b/src/sedgeshunt/membership/zones.py
@@ -4,7 +4,7 @@
 
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
 from sedgeshunt.identifiers import ZoneId
-from sedgeshunt.membership.links import PeerState
+from sedgeshunt.membership.peer_clients import PeerState
 
 
 class ZoneWatch:
--- a/src/sedgeshunt/node.py
+++ b/src/sedgeshunt/node.py
@@ -17,7 +17,7 @@
 from sedgeshunt.exceptions import SedgeshuntError, SettingsInvalid
 from sedgeshunt.identifiers import Seconds
 from sedgeshunt.logs import EventLog, LogLevel, ProcessEvent, open_log
-from sedgeshunt.membership.rotation import LONGEST_ROTATION, Rotation
+from sedgeshunt.membership.rotation import MAX_REMOVAL_TIME, BalancerRotation
 from sedgeshunt.node_service import NodeService
 from sedgeshunt.node_settings import (
     LIVE_FIELDS,
@@ -65,7 +65,7 @@
         self._stopping = Event()
         self._signalled = Event()
         self._metrics = TextMetrics()
-        self._rotation = Rotation()
+        self._rotation = BalancerRotation()
         self._store = MetadataStore(settings.store.place)
         self._promotions = PlatformPromotions(settings.promotions.place)
 
@@ -110,7 +110,7 @@
         while True:
             await sleep(SEND_EVERY)
             self._rotation.note_state(is_ready=node.is_ready())
-            if node.isolation.is_isolated() and self._rotation.is_left_out():
+            if node.isolation.is_isolated() and self._rotation.is_removed():
                 callers.send_idle_away()
 
     def _open_node(self, owned: AsyncExitStack) -> NodeService:
@@ -185,9 +185,9 @@
         async with TaskGroup() as tasks:
             tasks.create_task(node.hand_over(drain))
             # The balancer sends callers here until it has asked twice in vain.
-            await sleep(min(LONGEST_ROTATION, drain))
+            await sleep(min(MAX_REMOVAL_TIME, drain))
             callers.close()
-            await callers.send_away(Seconds(max(0, drain - LONGEST_ROTATION)))
+            await callers.send_away(Seconds(max(0, drain - MAX_REMOVAL_TIME)))
             await callers.abort(Seconds(grace * LAST_SHARE))
         await node.leave()
 
--- a/src/sedgeshunt/node_service.py
+++ b/src/sedgeshunt/node_service.py
@@ -32,13 +32,13 @@
     TrafficClass,
     ZoneId,
 )
-from sedgeshunt.membership.circle import Circle
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.membership.counters import BORROW_LIMIT, LinkedCounters
-from sedgeshunt.membership.feed_desk import FeedServer
+from sedgeshunt.membership.feed_server import FeedServer
 from sedgeshunt.membership.heartbeats import Heartbeats
-from sedgeshunt.membership.isolation import Isolation
+from sedgeshunt.membership.isolation import IsolationDetector
 from sedgeshunt.membership.neighbours import Neighbours
-from sedgeshunt.membership.registration import ViewedRegistration
+from sedgeshunt.membership.registration import StoreViewRegistration
 from sedgeshunt.membership.zone_feed import ZoneFeed
 from sedgeshunt.metrics import Metrics
 from sedgeshunt.node_settings import NodeSettings
@@ -116,7 +116,7 @@
             self.entry.name,
             self.entry.incarnation,
         )
-        circle = Circle(self.entry, self._configuration, self._records)
+        topology = Topology(self.entry, self._configuration, self._records)
         self._parts = PartsHeld()
         made, held = PromisesMade(started_at), PromisesHeld()
         releases = Releases()
@@ -129,13 +129,13 @@
             held,
             releases,
             self._records,
-            circle,
+            topology,
             decisions,
         )
         self._neighbours = Neighbours(
             self.entry,
             self._view,
-            circle,
+            topology,
             peers,
             self._heartbeats,
         )
@@ -173,7 +173,7 @@
                 decisions,
             ),
         )
-        self._feed = ZoneFeed(self.entry, circle, self._neighbours)
+        self._feed = ZoneFeed(self.entry, topology, self._neighbours)
         self._view.bind(self._feed)
         self._feeds = FeedServer(self._view, self._lease)
         self._counters = LinkedCounters(self.entry, self._neighbours)
@@ -198,7 +198,7 @@
             self._lease,
             self._heartbeats.owners_changed,
         )
-        self.isolation = Isolation(
+        self.isolation = IsolationDetector(
             self.entry.zone,
             self._lease,
             self._neighbours,
@@ -226,7 +226,7 @@
         self._lease.bind(
             self._opinions,
             self._feed,
-            ViewedRegistration(self._view, self.entry),
+            StoreViewRegistration(self._view, self.entry),
         )
         self._view.listen(self._note_change)
 
@@ -243,9 +243,11 @@
             while True:
                 await self._groups.changed.wait()
                 self._groups.changed.clear()
-                self._neighbours.follow(tasks)
-                while self._heartbeats.met:
-                    self._neighbours.meet(self._heartbeats.met.pop(), tasks)
+                self._neighbours.update(tasks)
+                while self._heartbeats.new_instances:
+                    self._neighbours.connect(
+                        self._heartbeats.new_instances.pop(), tasks
+                    )
                 await self._groups.follow(tasks)
 
     def is_ready(self) -> bool:
--- a/src/sedgeshunt/served_groups.py
+++ b/src/sedgeshunt/served_groups.py
@@ -152,6 +152,6 @@
         # them, its promoter would hold back for each of a whole fleet.
         reach = Reach(self._snapshot)
         serving = {proxy.name for proxy in reach.list_group_proxies(group)}
-        live = self._parts.roster.live_proxies()
+        live = self._parts.roster.list_live_proxies()
         declared = [proxy for proxy in live if proxy in serving]
         return sorted({self._parts.proxy, *declared})
--- a/src/sedgeshunt/statements/peer_desk.py
+++ b/src/sedgeshunt/statements/peer_desk.py
@@ -37,7 +37,7 @@
     TransactionId,
     ZoneId,
 )
-from sedgeshunt.membership.feed_desk import FeedServer
+from sedgeshunt.membership.feed_server import FeedServer
 from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.ownership.lease import LeaseRelay
--- a/tests/features/steps/load_and_faults_steps.py
+++ b/tests/features/steps/load_and_faults_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from sedgeshunt.identifiers import TargetId, TrafficClass
-from sedgeshunt.membership.rotation import Rotation
+from sedgeshunt.membership.rotation import BalancerRotation
 from tests.features.node_bench import NodeBench
 from tests.features.node_callers import Callers, Told, open_bench
 from tests.standins.network import PLATFORM
@@ -246,7 +246,7 @@
 @given('a proxy that the balancer asks')
 def open_rotation(context: Any) -> None:
     open_bench(context)
-    context.rotation = Rotation()
+    context.rotation = BalancerRotation()
 
 
 @when('the balancer is told "{answer}"')
@@ -271,7 +271,7 @@
 
 def _is_left_out(context: Any) -> bool:
     async def look() -> bool:
-        return bool(context.rotation.is_left_out())
+        return bool(context.rotation.is_removed())
 
     return bool(context.nodes.run(look()))
 
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -13,7 +13,7 @@
 from sedgeshunt.exceptions import PeerUnreachable
 from sedgeshunt.identifiers import ProxyId, Seconds, TargetId, ZoneId
 from sedgeshunt.membership.choice import KnownPeer, choose_peers
-from sedgeshunt.membership.links import PeerLink
+from sedgeshunt.membership.peer_clients import PeerClient
 from sedgeshunt.ports import (
     Address,
     InstanceState,
@@ -104,7 +104,8 @@
     assert state in {'live', 'gone'}
     context.bench.wait_until(
         lambda: all(
-            (ProxyId(name) in node.roster.live_proxies()) == (state == 'live')
+            (ProxyId(name) in node.roster.list_live_proxies())
+            == (state == 'live')
             for node in list_others(context)
         ),
         limit,
@@ -249,7 +250,7 @@
 async def _ask_late_and_again(context: Any) -> list[str]:
     node = await context.bench.start_node(context.bench.proxies[0])
     desk = Place('desk', 'east')
-    link = PeerLink(
+    link = PeerClient(
         node.address,
         MemoryPeerConnector(context.bench.peers, desk),
         lambda report: None,
