--- a/src/sedgeshunt/membership/isolation.py
+++ b/src/sedgeshunt/membership/isolation.py
@@ -4,7 +4,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
-from sedgeshunt.forwarding.link import MISSED_AFTER
+from sedgeshunt.forwarding.link import HEARTBEAT_MISSED_AFTER
 from sedgeshunt.identifiers import Monotonic, Seconds, ZoneId
 from sedgeshunt.membership.neighbours import Neighbours
 from sedgeshunt.ownership.lease import InstanceLease
@@ -25,7 +25,7 @@
 ASK_FOR = Seconds(1)
 
 
-class Isolation:
+class IsolationDetector:
     """Notice that neither the store nor any group's owner is reached."""
 
     # A part of the network without the store can't have owners for long, as
@@ -60,7 +60,7 @@
         self._suspected_since: Monotonic | None = None
         self._asked_at: Monotonic | None = None
         self._asked_again_at = Monotonic(0)
-        self.is_noted = False
+        self.is_recorded = False
 
     def is_isolated(self) -> bool:
         """Tell whether callers are served better elsewhere."""
@@ -70,7 +70,7 @@
         """Look until cancelled."""
         while True:
             self._look()
-            if self.is_isolated() != self.is_noted:
+            if self.is_isolated() != self.is_recorded:
                 self._note()
             await sleep(LOOK_EVERY)
 
@@ -100,7 +100,7 @@
             self._asked_at = read_clock()
             self._asked_again_at = self._asked_at
             self._neighbours.wake_all()
-        if read_clock() - self._asked_at < MISSED_AFTER:
+        if read_clock() - self._asked_at < HEARTBEAT_MISSED_AFTER:
             return False
         self._ask_again()
         return is_overdue and not self._hears_store()
@@ -112,7 +112,10 @@
         # would count until its next heartbeat, up to a second later.
         now = read_clock()
         since = now - (self._asked_at or now)
-        if since > ASK_FOR or now - self._asked_again_at < MISSED_AFTER:
+        if (
+            since > ASK_FOR
+            or now - self._asked_again_at < HEARTBEAT_MISSED_AFTER
+        ):
             return
         self._asked_again_at = now
         for link in self._neighbours.list_answering():
@@ -138,10 +141,10 @@
         )
 
     def _note(self) -> None:
-        self.is_noted = not self.is_noted
+        self.is_recorded = not self.is_recorded
         kind = (
             DecisionKind.ZONE_CUT
-            if self.is_noted
+            if self.is_recorded
             else DecisionKind.ZONE_REJOINED
         )
         reasons = {'zone': self._zone}
