--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -6,14 +6,14 @@
 from result import Err, Result
 
 from sedgeshunt.execution.group_owner import GroupOwner
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.primary_keeper import PrimaryKeeper
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.replica_reader import ReplicaReader
 from sedgeshunt.execution.runner import run_in_transaction
 from sedgeshunt.execution.target_executor import TargetExecutor
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds
 from sedgeshunt.ownership.claims import GroupClaim
@@ -36,7 +36,7 @@
         claim: GroupClaim,
         reader: ReplicaReader,
         probe: PrimaryProbe,
-        parts: KeeperParts,
+        parts: PrimaryContext,
     ) -> None:
         """Own nothing yet."""
         self.group = group
@@ -70,7 +70,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
@@ -125,7 +125,7 @@
     async def _continue(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         transaction = book.get(call.transaction) if call.transaction else None
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -16,7 +16,7 @@
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.execution.transactions import (
     OpenTransaction,
-    TransactionBook,
+    TransactionTable,
     TransactionPlace,
 )
 from sedgeshunt.groups.points import Point
@@ -63,7 +63,7 @@
         """Find the primary, serve it, replace it, until cancelled."""
         await self._keeper.run()
 
-    def leave(self, limit: Seconds) -> None:
+    def request_handover(self, limit: Seconds) -> None:
         """Give the group to a peer when nothing is open, or after `limit`."""
         self._keeper.leave(limit)
 
@@ -84,7 +84,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a single statement, or a transaction's first one."""
@@ -101,7 +101,7 @@
     async def _try(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         if not self.reign.is_held():
@@ -120,7 +120,7 @@
         self,
         transaction: OpenTransaction,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a later statement of a transaction at the primary."""
@@ -162,7 +162,7 @@
 async def _run_at(
     executor: TargetExecutor,
     call: StatementCall,
-    book: TransactionBook,
+    book: TransactionTable,
     deadline: Monotonic,
 ) -> Result[Answer, Refusal]:
     if call.transaction is None:
@@ -179,7 +179,7 @@
     return await run_in_transaction(begun.ok_value, call, book, deadline)
 
 
-async def _drop(book: TransactionBook, name: TransactionId) -> None:
+async def _drop(book: TransactionTable, name: TransactionId) -> None:
     transaction = book.get(name)
     if transaction is not None:
         book.remove(transaction)
--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -8,7 +8,7 @@
 from sedgeshunt.configuration.objects import Group
 from sedgeshunt.connections.target_session import TargetSessionConnector
 from sedgeshunt.execution.group_access import GroupAccess
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.replica_reader import ReplicaReader, list_replicas
 from sedgeshunt.groups.points import Point
@@ -57,7 +57,7 @@
         view: StoreView,
         connector: TargetSessionConnector,
         claims: ClaimContext,
-        parts: KeeperParts,
+        parts: PrimaryContext,
     ) -> None:
         """Run no group before the first configuration."""
         self.changed = Event()
@@ -77,7 +77,7 @@
         """Yield what runs."""
         return iter(tuple(self._groups.values()))
 
-    def names(self) -> tuple[GroupId, ...]:
+    def list_names(self) -> tuple[GroupId, ...]:
         """Return the names of the groups that run."""
         return tuple(self._groups)
 
@@ -90,13 +90,15 @@
         access = self._groups.get(group)
         return None if access is None else access.read_tip()
 
-    def take_tip(self, group: GroupId, asked_at: Boottime, tip: Point) -> None:
+    def record_tip(
+        self, group: GroupId, asked_at: Boottime, tip: Point
+    ) -> None:
         """Take in a primary's log end and when it was asked for."""
         access = self._groups.get(group)
         if access is not None:
             access.freshness.note(asked_at, tip)
 
-    async def follow(self, tasks: TaskGroup) -> None:
+    async def apply_configuration(self, tasks: TaskGroup) -> None:
         """Start and stop groups as they are declared."""
         declared = {group.name for group in self._configuration.list_groups()}
         for gone in set(self._groups) - declared:
@@ -107,7 +109,7 @@
                 access = self._make_access(name)
                 self._groups[name] = access
                 self._tasks[name] = tasks.create_task(self._run(access))
-            await self._groups[name].reader.follow()
+            await self._groups[name].reader.apply_configuration()
 
     def find_zone(self, group: GroupId) -> ZoneId | None:
         """Return the availability zone of a group's primary."""
@@ -151,7 +153,7 @@
             return ()
         return self._plan_readers(members.group).readers.get(self._own.zone, ())
 
-    def list_homes(
+    def list_customer_readers(
         self,
         name: GroupId,
         customer: CustomerId,
--- a/src/sedgeshunt/execution/hedging.py
+++ b/src/sedgeshunt/execution/hedging.py
@@ -121,7 +121,7 @@
     # A transaction is open in one place only.
     if call.transaction is not None:
         return None
-    return Seconds(max(SHORTEST_HEDGE, HEDGE_SHARE * call.aim_left))
+    return Seconds(max(SHORTEST_HEDGE, HEDGE_SHARE * call.objective_left))
 
 
 def _is_final(ended: Outcome | None) -> bool:
--- a/src/sedgeshunt/execution/preparing.py
+++ b/src/sedgeshunt/execution/preparing.py
@@ -7,7 +7,7 @@
 
 def needs_preparing(session: PooledSession, call: StatementCall) -> bool:
     """Tell whether a session lacks what a call needs."""
-    if session.values != call.values:
+    if session.values != call.session_values:
         return True
     return call.prepared is not None and call.prepared not in session.prepared
 
@@ -16,11 +16,11 @@
     """Give a session the values and the statement that a call needs."""
     reply = _NOTHING
     connection = session.connection
-    if not session.values.keys() <= call.values.keys():
+    if not session.values.keys() <= call.session_values.keys():
         reply = await connection.reset()
         session.values.clear()
         session.prepared.clear()
-    for name, value in call.values.items() - session.values.items():
+    for name, value in call.session_values.items() - session.values.items():
         reply = await connection.set_value(name, value)
         if reply.refusal is not None:
             return reply
--- a/src/sedgeshunt/execution/keeper_parts.py
+++ b/src/sedgeshunt/execution/primary_context.py
@@ -13,7 +13,7 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 
 
-class PeerOpinions(ABC):
+class PeerQueries(ABC):
     """Ask peers about what can't be reached from here."""
 
     @abstractmethod
@@ -29,14 +29,14 @@
         """Return the best candidate that reaches the store, None for none."""
 
 
-class KeeperParts(Struct, frozen=True):
+class PrimaryContext(Struct, frozen=True):
     """Hold what all keepers of one proxy share."""
 
     configuration: LiveConfiguration
     connector: TargetSessionConnector
     replacement: PrimaryReplacement
     records: GroupRecords
-    peers: PeerOpinions
+    peers: PeerQueries
     decisions: DecisionLog
 
     def tell(
--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -6,7 +6,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.connections.target_session import LogStatus
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.statuses import read_status, read_statuses
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.successors import find_leader
@@ -33,7 +33,7 @@
     def __init__(
         self,
         reign: Reign,
-        parts: KeeperParts,
+        parts: PrimaryContext,
         freshness: FreshnessProof,
     ) -> None:
         """Ask on behalf of `reign`."""
--- a/src/sedgeshunt/execution/primary_keeper.py
+++ b/src/sedgeshunt/execution/primary_keeper.py
@@ -7,7 +7,7 @@
 from sedgeshunt.connections.target_session import LogStatus
 from sedgeshunt.decisions import DecisionKind
 from sedgeshunt.execution.copies import CopyNotes
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.primary_finder import Leader, PrimaryFinder
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
@@ -62,7 +62,7 @@
         reign: Reign,
         state: PrimaryState,
         probe: PrimaryProbe,
-        parts: KeeperParts,
+        parts: PrimaryContext,
         freshness: FreshnessProof,
     ) -> None:
         """Keep nothing before run()."""
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -14,7 +14,7 @@
     run_in_transaction,
 )
 from sedgeshunt.execution.target_executor import TargetExecutor
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
     Boottime,
@@ -108,7 +108,7 @@
         self._replicas: dict[TargetId, Replica] = {}
         self._hedger = Hedger(is_last_resort=False)
 
-    async def follow(self) -> None:
+    async def apply_configuration(self) -> None:
         """Take in a new list of targets."""
         members = self._configuration.find_members(self.group)
         shares = {} if members is None else self._find_shares(members)
@@ -141,14 +141,14 @@
             if replica.is_other_life(listed.get(name)):
                 await self._replicas.pop(name).executor.close()
 
-    def is_able(self) -> bool:
+    def has_replicas(self) -> bool:
         """Tell whether this instance has a share of the replicas."""
         return bool(self._replicas)
 
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Read from one replica after the other until one can serve."""
@@ -189,7 +189,7 @@
         self,
         replica: Replica,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
         required: Point,
     ) -> Result[Answer, Refusal]:
@@ -265,7 +265,7 @@
 async def _run_at(
     replica: Replica,
     call: StatementCall,
-    book: TransactionBook,
+    book: TransactionTable,
     deadline: Monotonic,
     required: Point,
 ) -> Result[Answer, Refusal]:
--- a/src/sedgeshunt/execution/runner.py
+++ b/src/sedgeshunt/execution/runner.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.target_executor import TargetExecutor
-from sedgeshunt.execution.transactions import OpenTransaction, TransactionBook
+from sedgeshunt.execution.transactions import OpenTransaction, TransactionTable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import Monotonic, Seconds
 from sedgeshunt.requests.outcome import (
@@ -25,7 +25,7 @@
 async def begin_transaction(
     executor: TargetExecutor,
     call: StatementCall,
-    book: TransactionBook,
+    book: TransactionTable,
     deadline: Monotonic,
     after: Point | None = None,
     *,
@@ -63,7 +63,7 @@
 async def run_in_transaction(
     transaction: OpenTransaction,
     call: StatementCall,
-    book: TransactionBook,
+    book: TransactionTable,
     deadline: Monotonic,
 ) -> Result[Answer, Refusal]:
     """Run one of a transaction's statements; a failed one ends it."""
@@ -90,7 +90,7 @@
     if refusal is None:
         return outcome
     book.remove(transaction)
-    await transaction.undo()
+    await transaction.roll_back()
     return Err(_describe_loss(refusal))
 
 
@@ -101,7 +101,7 @@
     if isinstance(outcome, Ok):
         await transaction.end()
     else:
-        await transaction.undo()
+        await transaction.roll_back()
 
 
 def _describe_loss(refusal: Refusal) -> Refusal:
--- a/src/sedgeshunt/execution/signs.py
+++ b/src/sedgeshunt/execution/signs.py
@@ -6,7 +6,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.connections.target_session import LogRole, LogStatus
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.statuses import read_status, read_statuses
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.groups.points import Point
@@ -50,7 +50,7 @@
 
 
 async def ask_all(
-    parts: KeeperParts,
+    parts: PrimaryContext,
     group: GroupId,
     members: GroupMembers,
     known: KnownTarget,
@@ -72,7 +72,7 @@
 
 
 async def ask_others(
-    parts: KeeperParts,
+    parts: PrimaryContext,
     members: GroupMembers,
     primary: TargetId | None,
 ) -> dict[TargetId, LogStatus]:
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -144,7 +144,7 @@
         """Lend a session for a call, or refuse it as too many wait."""
         came_at = read_clock()
         lent = await self.pool.lend(
-            call.values,
+            call.session_values,
             deadline,
             customer=call.identity.customer,
             is_transaction=is_transaction,
@@ -223,13 +223,15 @@
     ) -> Monotonic:
         now = read_clock()
         waited = now - (came_at or now)
-        aim_left = Seconds(call.aim_left - waited)
+        aim_left = Seconds(call.objective_left - waited)
         return self._standing.find_due(call.priority, aim_left, deadline, now)
 
     def _note_wait(self, call: StatementCall, came_at: Monotonic) -> None:
         now = read_clock()
         waited = Seconds(now - came_at)
-        self._standing.note_wait(call.priority, waited, call.aim_left, now)
+        self._standing.note_wait(
+            call.priority, waited, call.objective_left, now
+        )
 
     def _note_refused(self, call: StatementCall, refusal: NotRun) -> None:
         if refusal.cause is Cause.OVERLOAD:
@@ -256,7 +258,7 @@
                 return Err(self._name_refusal(prepared.ok_value.refusal))
         if call.transaction is not None and not call.is_final:
             # Given up early, the transaction can be begun again in time.
-            patience = max(SHORTEST_PATIENCE, OPEN_FACTOR * call.aim_left)
+            patience = max(SHORTEST_PATIENCE, OPEN_FACTOR * call.objective_left)
             deadline = Monotonic(min(deadline, read_clock() + patience))
         reply = await self.ask(
             session,
--- a/src/sedgeshunt/execution/transactions.py
+++ b/src/sedgeshunt/execution/transactions.py
@@ -60,7 +60,7 @@
         self.loan.session.is_clean = False
         await self.end()
 
-    async def undo(self) -> None:
+    async def roll_back(self) -> None:
         """Roll it back and return the session."""
         if self.loan.session.is_clean:
             deadline = Monotonic(read_clock() + ROLLBACK_LIMIT)
@@ -75,12 +75,12 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: 'TransactionBook',
+        book: 'TransactionTable',
     ) -> None:
         """Undo a transaction that its caller gives up."""
 
 
-class TransactionBook:
+class TransactionTable:
     """Hold the open transactions of one origin: a caller or a peer."""
 
     def __init__(self) -> None:
@@ -113,16 +113,16 @@
         """Tell whether a transaction was passed on."""
         return transaction in self._relayed
 
-    async def undo(self, name: TransactionId) -> None:
+    async def roll_back(self, name: TransactionId) -> None:
         """Undo one transaction, wherever it is open."""
         keeper = self._relayed.pop(name, None)
         if keeper is not None:
             await keeper.end_transaction(name, self)
         transaction = self._open.pop(name, None)
         if transaction is not None:
-            await transaction.undo()
+            await transaction.roll_back()
 
-    async def undo_all(self) -> None:
+    async def roll_back_all(self) -> None:
         """Undo what is left when the origin has gone."""
         for name in (*self._relayed, *self._open):
-            await self.undo(name)
+            await self.roll_back(name)
--- a/src/sedgeshunt/forwarding/server.py
+++ b/src/sedgeshunt/forwarding/server.py
@@ -9,7 +9,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.customers.counting import Spend, Spent
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.forwarding.channel import FrameChannel
 from sedgeshunt.forwarding.messages import (
     Beat,
@@ -41,7 +41,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a statement for a peer's caller."""
@@ -50,7 +50,7 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        book: TransactionTable,
     ) -> None:
         """Undo a transaction that a peer's caller gives up."""
 
@@ -90,7 +90,7 @@
         """Own what the peer begins here."""
         self._channel = channel
         self._desk = desk
-        self._book = TransactionBook()
+        self._book = TransactionTable()
         self._running: dict[int, Task[None]] = {}
         # Where the peer's questions for changes are answered to.
         self._receivers: dict[int, ChangeReceiver] = {}
@@ -109,7 +109,7 @@
         finally:
             for receive in self._receivers.values():
                 self._desk.stop_handing(receive)
-            await self._book.undo_all()
+            await self._book.roll_back_all()
 
     def _take(self, frame: Frame, tasks: TaskGroup) -> None:
         number = frame.number
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -152,7 +152,7 @@
         """Take in the answer to a heartbeat."""
         for owned in reply.owned:
             if owned.tip is not None:
-                self._groups.take_tip(owned.group, asked_at, owned.tip)
+                self._groups.record_tip(owned.group, asked_at, owned.tip)
         for group, claim in reply.released:
             self._releases.note_heard(group, claim)
         self._view.observe_revision(reply.store_revision)
@@ -162,7 +162,7 @@
 
     def take_tip(self, group: GroupId, asked_at: Boottime, tip: Point) -> None:
         """Take in a primary's log end and when it was asked for."""
-        self._groups.take_tip(group, asked_at, tip)
+        self._groups.record_tip(group, asked_at, tip)
 
     def note_reach(self, peer: ProxyId, *, is_reached: bool) -> None:
         """Take in that a peer was lost or found."""
@@ -192,10 +192,10 @@
 
     def _reads(self, group: GroupId) -> bool:
         access = self._groups.get(group)
-        return access is not None and access.reader.is_able()
+        return access is not None and access.reader.has_replicas()
 
     def _list_owned_by(self, peer: ProxyId) -> Iterator[GroupId]:
-        for group in self._groups.names():
+        for group in self._groups.list_names():
             owner = self._records.find_owner(group)
             if owner is not None and owner.owner == peer:
                 yield group
--- a/src/sedgeshunt/node_service.py
+++ b/src/sedgeshunt/node_service.py
@@ -16,7 +16,7 @@
 from sedgeshunt.exceptions import AnswerLost, PlatformUnavailable
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable, find_primary_zone
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.replacement import PrimaryReplacement
 from sedgeshunt.forwarding.channel import FrameChannel, FrameConnector
 from sedgeshunt.forwarding.server import PeerConversation
@@ -58,7 +58,10 @@
 from sedgeshunt.revisions import read_count
 from sedgeshunt.statements.dispatch import Dispatcher
 from sedgeshunt.statements.owners import OwnerDirectory
-from sedgeshunt.statements.peer_desk import HeardOpinions, LocalDesk
+from sedgeshunt.statements.peer_requests import (
+    ReachablePeers,
+    LocalRequestHandler,
+)
 from sedgeshunt.statements.records import StatementRecorder
 from sedgeshunt.statements.session import (
     NO_CUSTOMER,
@@ -148,7 +151,7 @@
             self._neighbours,
             decisions,
         )
-        self._opinions = HeardOpinions(
+        self._opinions = ReachablePeers(
             self._neighbours,
             self._records,
             self._find_zone,
@@ -159,7 +162,7 @@
             self._view,
             connector,
             self._claims,
-            KeeperParts(
+            PrimaryContext(
                 self._configuration,
                 connector,
                 PrimaryReplacement(
@@ -213,7 +216,7 @@
             self._counter,
             self._configuration.find_limit,
         )
-        self._desk = LocalDesk(
+        self._desk = LocalRequestHandler(
             self._groups,
             owners,
             self._heartbeats,
@@ -246,7 +249,7 @@
                 self._neighbours.follow(tasks)
                 while self._heartbeats.met:
                     self._neighbours.meet(self._heartbeats.met.pop(), tasks)
-                await self._groups.follow(tasks)
+                await self._groups.apply_configuration(tasks)
 
     def is_ready(self) -> bool:
         """Tell whether callers can be served here."""
@@ -352,7 +355,7 @@
         self._claims.is_stopping = True
         for access in self._groups:
             if access.owner is not None:
-                access.owner.leave(limit)
+                access.owner.request_handover(limit)
         give_up = Monotonic(read_clock() + limit + HANDOVER_LIMIT)
         while self._owns_any() and read_clock() < give_up:
             await self._heartbeats.owners_changed.wait(give_up)
@@ -372,7 +375,7 @@
         if not self._lease.has_own_answer():
             return False
         # All keep in touch with owners, and so hear what one of them has seen.
-        first = min(self._groups.names(), default=None)
+        first = min(self._groups.list_names(), default=None)
         if first is not None and self._hears_checker(first):
             access = self._groups.get(first)
             return access is not None and access.owner is not None
--- a/src/sedgeshunt/platform/callers.py
+++ b/src/sedgeshunt/platform/callers.py
@@ -233,7 +233,7 @@
             if word != 'QUERY':
                 raise MessageMalformed(f'"{word[:20]}" is no message')
             await self._answer(session, rest)
-            if session.is_shut_out:
+            if session.is_key_revoked:
                 return
 
     async def _read_next(self) -> str | None:
--- a/src/sedgeshunt/statement_lines.py
+++ b/src/sedgeshunt/statement_lines.py
@@ -5,7 +5,7 @@
 from sedgeshunt.logs import EventLog, LogLevel, ProcessEvent
 from sedgeshunt.requests.outcome import NotRun, Refusal, Rejected
 from sedgeshunt.statements.counts import name_outcome
-from sedgeshunt.statements.records import StatementEnd, StatementRecorder
+from sedgeshunt.statements.records import StatementRecord, StatementRecorder
 
 MILLISECONDS = 1000
 # Lines in a second, of each outcome apart: a flood of refusals must not push
@@ -30,7 +30,7 @@
         self._written: dict[str, int] = {}
         self._dropped: dict[str, int] = {}
 
-    def record(self, end: StatementEnd) -> None:
+    def record(self, end: StatementRecord) -> None:
         """Write a statement that was refused, or answered too late."""
         outcome = _name_outcome(end)
         if outcome is None:
@@ -68,7 +68,7 @@
         return written < LONGEST_BURST[outcome]
 
 
-def _name_outcome(end: StatementEnd) -> str | None:
+def _name_outcome(end: StatementRecord) -> str | None:
     if end.refusal is not None:
         return name_outcome(end.refusal)
     return 'late' if end.spent > end.objective else None
--- a/src/sedgeshunt/statements/call.py
+++ b/src/sedgeshunt/statements/call.py
@@ -45,7 +45,7 @@
     # Time until the caller's answer is worth nothing.
     time_left: Seconds
     # Time until the caller's objective is missed; may be negative.
-    aim_left: Seconds
+    objective_left: Seconds
     # 0 is served first.
     priority: int = 0
     transaction: TransactionId | None = None
@@ -53,7 +53,7 @@
     begins: bool = False
     is_read_only: bool = False
     # Session values that the statement must find.
-    values: Mapping[str, str] = field(default_factory=dict)
+    session_values: Mapping[str, str] = field(default_factory=dict)
     prepared: PreparedStatement | None = None
     # For an execution: what follows the prepared name.
     arguments: str = ''
--- a/src/sedgeshunt/statements/counts.py
+++ b/src/sedgeshunt/statements/counts.py
@@ -3,7 +3,7 @@
 from sedgeshunt.decisions import Decision, DecisionLog
 from sedgeshunt.metrics import Metrics
 from sedgeshunt.requests.outcome import NotRun, Refusal, Rejected, Unknown
-from sedgeshunt.statements.records import StatementEnd, StatementRecorder
+from sedgeshunt.statements.records import StatementRecord, StatementRecorder
 
 
 class StatementCounts(StatementRecorder):
@@ -14,7 +14,7 @@
         self._metrics = metrics
         self._onward = onward
 
-    def record(self, end: StatementEnd) -> None:
+    def record(self, end: StatementRecord) -> None:
         """Count one statement by its outcome and its cause."""
         metrics = self._metrics
         metrics.count(f'requests.{name_outcome(end.refusal)}')
--- a/src/sedgeshunt/statements/dispatch.py
+++ b/src/sedgeshunt/statements/dispatch.py
@@ -10,7 +10,7 @@
 from result import Err, Result
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.identifiers import CustomerId, GroupId, Monotonic, Seconds
 from sedgeshunt.limits.holding import find_retry, is_worth_holding
 from sedgeshunt.requests.outcome import Answer, Cause, NotRun, Refusal
@@ -70,7 +70,7 @@
     async def run(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         """Run a call that is not bound to a place yet."""
@@ -87,7 +87,7 @@
     async def _read(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         """Read where there is room, else where the queue is shortest."""
@@ -110,7 +110,7 @@
     async def _run_at_readers(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         sites = self._sites.find_readers(call.group, call.identity.customer)
@@ -155,7 +155,7 @@
     async def _run_at_owner(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         last: Refusal | None = None
--- a/src/sedgeshunt/statements/owners.py
+++ b/src/sedgeshunt/statements/owners.py
@@ -82,7 +82,7 @@
             homes = self._find_homes(access, customer)
             if homes:
                 return homes
-        if access.reader.is_able():
+        if access.reader.has_replicas():
             return (LocalSite(access),)
         link = self._find_reader_link(group)
         return () if link is None else (PeerSite(link),)
@@ -123,7 +123,9 @@
         access: GroupAccess,
         customer: CustomerId,
     ) -> list[CallSite]:
-        ranked, count = self._groups.list_homes(access.group, customer)
+        ranked, count = self._groups.list_customer_readers(
+            access.group, customer
+        )
         sites = map(partial(self._reach, access), ranked)
         reached = [site for site in sites if site is not None]
         homes = reached[:count]
@@ -132,7 +134,7 @@
 
     def _reach(self, access: GroupAccess, reader: ProxyId) -> CallSite | None:
         if reader == self._neighbours.own_name:
-            return LocalSite(access) if access.reader.is_able() else None
+            return LocalSite(access) if access.reader.has_replicas() else None
         link = self._neighbours.find_link(reader)
         # One that has missed a heartbeat may be cut off; others will do.
         if link is None or link.is_stopping or not link.is_answering():
--- a/src/sedgeshunt/statements/peer_desk.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -15,9 +15,9 @@
 from sedgeshunt.exceptions import PlatformUnavailable
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable
-from sedgeshunt.execution.keeper_parts import PeerOpinions
+from sedgeshunt.execution.primary_context import PeerQueries
 from sedgeshunt.execution.statuses import STATUS_LIMIT, read_status
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.forwarding.messages import Beat, BeatReply, KeptLease
 from sedgeshunt.forwarding.server import PeerDesk
@@ -59,7 +59,7 @@
 KEEP_LIMIT = Seconds(0.2)
 
 
-class LocalDesk(PeerDesk):
+class LocalRequestHandler(PeerDesk):
     """Run peers' calls, or pass them on, and answer their questions."""
 
     def __init__(
@@ -86,7 +86,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a statement for a peer's caller, or pass it on to the owner."""
@@ -110,10 +110,10 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        book: TransactionTable,
     ) -> None:
         """Undo a peer's transaction."""
-        await book.undo(transaction)
+        await book.roll_back(transaction)
 
     async def reaches(self, group: GroupId, target: TargetId) -> bool:
         """Tell whether a target that leads its group is reached from here."""
@@ -161,7 +161,7 @@
     async def _relay(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         site = self._owners.find_direct(call.group)
@@ -181,14 +181,14 @@
 def _must_relay(
     access: GroupAccess,
     call: StatementCall,
-    book: TransactionBook,
+    book: TransactionTable,
 ) -> bool:
     if call.transaction is not None and not call.begins:
         return book.is_relayed(call.transaction)
     return call.access is Access.PRIMARY and access.owner is None
 
 
-class HeardOpinions(PeerOpinions, LeaseRelay):
+class ReachablePeers(PeerQueries, LeaseRelay):
     """Ask the peers that are heard."""
 
     def __init__(
--- a/src/sedgeshunt/statements/records.py
+++ b/src/sedgeshunt/statements/records.py
@@ -16,7 +16,7 @@
 from sedgeshunt.requests.outcome import Refusal
 
 
-class StatementEnd(Struct, frozen=True):
+class StatementRecord(Struct, frozen=True):
     """Hold what decided how one statement ended."""
 
     statement: StatementId
@@ -39,12 +39,12 @@
     """Take down statements; no call may block or raise."""
 
     @abstractmethod
-    def record(self, end: StatementEnd) -> None:
+    def record(self, end: StatementRecord) -> None:
         """Take down how one statement ended."""
 
 
-class NoRecorder(StatementRecorder):
+class NullRecorder(StatementRecorder):
     """Take nothing down."""
 
-    def record(self, end: StatementEnd) -> None:
+    def record(self, end: StatementRecord) -> None:
         """Drop it."""
--- a/src/sedgeshunt/statements/session.py
+++ b/src/sedgeshunt/statements/session.py
@@ -11,7 +11,7 @@
 from sedgeshunt.connections.target_session import SessionPhase
 from sedgeshunt.customers.directory import Identity
 from sedgeshunt.customers.gate import CustomerGate
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
     GroupId,
@@ -32,7 +32,7 @@
 )
 from sedgeshunt.statements.call import Access, CallKind, StatementCall
 from sedgeshunt.statements.dispatch import Dispatched, Dispatcher
-from sedgeshunt.statements.records import StatementEnd, StatementRecorder
+from sedgeshunt.statements.records import StatementRecord, StatementRecorder
 from sedgeshunt.statements.sites import CallSite
 from sedgeshunt.statements.statement import (
     PreparedStatement,
@@ -91,7 +91,7 @@
         """Open with no values, no statements and no transaction."""
         self.database = database
         # Its key is nobody's any more: nothing is run for it again.
-        self.is_shut_out = False
+        self.is_key_revoked = False
         self._key = key
         self._name = name
         self._configuration = configuration
@@ -102,7 +102,7 @@
         self._prepared: dict[str, PreparedStatement] = {}
         self._commits: dict[GroupId, Point] = {}
         self._transaction: CallerTransaction | None = None
-        self._book = TransactionBook()
+        self._book = TransactionTable()
         self._numbers = count(1)
 
     @property
@@ -133,7 +133,7 @@
     async def close(self) -> None:
         """Undo an open transaction; the caller has left."""
         await self._drop_transaction()
-        await self._book.undo_all()
+        await self._book.roll_back_all()
 
     def _begin(self, statement: Statement) -> _Outcome:
         if self._transaction is not None:
@@ -220,7 +220,7 @@
         return self._configuration.identify(self._key, route)
 
     def _shut_out(self) -> _Outcome:
-        self.is_shut_out = True
+        self.is_key_revoked = True
         reason = f"the key {self._key} is no customer's; use one that is"
         return _reject(NO_CUSTOMER, reason)
 
@@ -285,14 +285,14 @@
     ) -> None:
         answer = ran.outcome.ok()
         self._recorder.record(
-            StatementEnd(
+            StatementRecord(
                 call.statement,
                 self.database,
                 call.group,
                 call.kind.value,
                 ran.outcome.err(),
                 Seconds(read_clock() - began),
-                call.aim_left,
+                call.objective_left,
                 self._configuration.declared.version,
                 NOWHERE if ran.site is None else ran.site.name,
                 None if answer is None else answer.served_by,
@@ -324,7 +324,7 @@
             None if transaction is None else transaction.id,
             begins=False,
             is_read_only=transaction is not None and transaction.is_read_only,
-            values=self._copy_values(),
+            session_values=self._copy_values(),
             prepared=prepared,
             arguments=statement.rest,
             after=self._find_commit(route, group),
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -7,7 +7,10 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.group_access import GroupAccess
-from sedgeshunt.execution.transactions import TransactionBook, TransactionKeeper
+from sedgeshunt.execution.transactions import (
+    TransactionTable,
+    TransactionKeeper,
+)
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.identifiers import Monotonic, Seconds, TransactionId
 from sedgeshunt.requests.outcome import Answer, Refusal
@@ -24,7 +27,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call; `book` keeps transactions that are run here."""
@@ -45,7 +48,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
@@ -58,10 +61,10 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        book: TransactionTable,
     ) -> None:
         """Undo a transaction that its caller gives up."""
-        await book.undo(transaction)
+        await book.roll_back(transaction)
 
 
 class PeerSite(CallSite):
@@ -76,7 +79,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        book: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Have the peer run a call."""
@@ -91,7 +94,7 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        book: TransactionTable,
     ) -> None:
         """Have the peer undo a transaction."""
         self._link.end_transaction(transaction)
--- a/tests/features/node_bench.py
+++ b/tests/features/node_bench.py
@@ -45,7 +45,7 @@
 from sedgeshunt.platform.statements import read_statement
 from sedgeshunt.ports import Address, Delete, Put
 from sedgeshunt.requests.outcome import Answer, Refusal
-from sedgeshunt.statements.records import NoRecorder
+from sedgeshunt.statements.records import NullRecorder
 from sedgeshunt.statements.session import StatementSession
 from tests.features.promise_time import VirtualTime
 from tests.standins.documents import (
@@ -142,7 +142,7 @@
             bench.group,
             self.frames,
             self.decisions,
-            NoRecorder(),
+            NullRecorder(),
             read_boottime(),
         )
         self.frames.listen(self.address, self.service.serve_peer)
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -193,7 +193,7 @@
 @then('its caller is told "{code}" after it')
 def check_after(context: Any, code: str) -> None:
     _check_code(context, context.inside, 'BEGIN', code)
-    assert context.inside.is_shut_out
+    assert context.inside.is_key_revoked
 
 
 _FAULTS = {
@@ -451,7 +451,7 @@
 def read_and_cut(context: Any, name: str, pause: float, time: float) -> None:
     bench: NodeBench = context.nodes
     groups = bench.nodes['east-1'].service._groups
-    home = groups.list_homes(GROUP, CustomerId(name))[0][0]
+    home = groups.list_customer_readers(GROUP, CustomerId(name))[0][0]
     node = next(other for other in bench.nodes if other != home)
     context.others = Callers(bench)
     session = bench.open(node, 'browse', find_key(name))
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -138,7 +138,7 @@
     readers = [
         name
         for name, node in bench.nodes.items()
-        if _find_reader(node).is_able() and name != bench.find_owner()
+        if _find_reader(node).has_replicas() and name != bench.find_owner()
     ]
     context.most = Counter()
     context.victim = readers[0]
@@ -229,7 +229,7 @@
 def _reads_only(node: Any) -> tuple[bool, bool]:
     """Tell whether a proxy reads replicas, and whether it may own a group."""
     return (
-        _find_reader(node).is_able(),
+        _find_reader(node).has_replicas(),
         node.service.find_lease().is_short(),
     )
 
