--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -70,14 +70,14 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
         if call.transaction is not None and not call.begins:
-            return await self._continue(call, book, deadline)
+            return await self._continue(call, transactions, deadline)
         if call.access is Access.REPLICA:
-            return await self.reader.run_call(call, book, deadline)
+            return await self.reader.run_call(call, transactions, deadline)
         if self.owner is None:
             return Err(
                 NotRun(
@@ -86,7 +86,7 @@
                     NOT_OWNER_RETRY,
                 ),
             )
-        return await self.owner.run_call(call, book, deadline)
+        return await self.owner.run_call(call, transactions, deadline)
 
     async def _serve(self, reign: Reign) -> None:
         state = PrimaryState(self.group)
@@ -125,21 +125,25 @@
     async def _continue(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        transaction = book.get(call.transaction) if call.transaction else None
+        transaction = (
+            transactions.get(call.transaction) if call.transaction else None
+        )
         if transaction is not None and not transaction.is_at_primary:
-            return await run_in_transaction(transaction, call, book, deadline)
+            return await run_in_transaction(
+                transaction, call, transactions, deadline
+            )
         if transaction is not None and self.owner is not None:
             return await self.owner.continue_transaction(
                 transaction,
                 call,
-                book,
+                transactions,
                 deadline,
             )
         if transaction is not None:
-            book.remove(transaction)
+            transactions.remove(transaction)
             await transaction.abort()
         return Err(
             NotRun(
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -84,14 +84,14 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a single statement, or a transaction's first one."""
         executor = self._state.executor
         if call.is_prompt and not (executor and executor.has_spare(call)):
             return Err(_refuse_queueing(self.group))
-        attempt = partial(self._try, call, book, deadline)
+        attempt = partial(self._try, call, transactions, deadline)
         if call.is_final:
             return await attempt()
         attempts = repeat(attempt, READ_ATTEMPTS)
@@ -101,7 +101,7 @@
     async def _try(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         if not self.reign.is_held():
@@ -110,25 +110,27 @@
         if isinstance(found, Err):
             return found
         executor = found.ok_value
-        outcome = await _run_at(executor, call, book, deadline)
+        outcome = await _run_at(executor, call, transactions, deadline)
         checked = self._check(executor, call, outcome)
         if checked.is_err() and call.transaction is not None:
-            await _drop(book, call.transaction)
+            await _drop(transactions, call.transaction)
         return checked
 
     async def continue_transaction(
         self,
         transaction: OpenTransaction,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a later statement of a transaction at the primary."""
         may_go_on = self._state.may_continue(transaction.executor)
         if not may_go_on or not self.reign.is_held():
-            await _drop(book, transaction.id)
+            await _drop(transactions, transaction.id)
             return Err(_refuse_reign(Cause.TRANSACTION_LOST))
-        outcome = await run_in_transaction(transaction, call, book, deadline)
+        outcome = await run_in_transaction(
+            transaction, call, transactions, deadline
+        )
         return self._check(transaction.executor, call, outcome)
 
     def _check(
@@ -162,7 +164,7 @@
 async def _run_at(
     executor: TargetExecutor,
     call: StatementCall,
-    book: TransactionTable,
+    transactions: TransactionTable,
     deadline: Monotonic,
 ) -> Result[Answer, Refusal]:
     if call.transaction is None:
@@ -170,19 +172,21 @@
     begun = await begin_transaction(
         executor,
         call,
-        book,
+        transactions,
         deadline,
         is_at_primary=True,
     )
     if isinstance(begun, Err):
         return begun
-    return await run_in_transaction(begun.ok_value, call, book, deadline)
+    return await run_in_transaction(
+        begun.ok_value, call, transactions, deadline
+    )
 
 
-async def _drop(book: TransactionTable, name: TransactionId) -> None:
-    transaction = book.get(name)
+async def _drop(transactions: TransactionTable, name: TransactionId) -> None:
+    transaction = transactions.get(name)
     if transaction is not None:
-        book.remove(transaction)
+        transactions.remove(transaction)
         await transaction.abort()
 
 
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -148,7 +148,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Read from one replica after the other until one can serve."""
@@ -158,7 +158,7 @@
         if required is None:
             return Err(self._refuse('the age of no replica can be proved'))
         attempts = (
-            partial(self._try, replica, call, book, deadline, required)
+            partial(self._try, replica, call, transactions, deadline, required)
             for replica in self._rank(required)
         )
         outcome = await self._hedger.run(call, attempts, deadline)
@@ -189,11 +189,11 @@
         self,
         replica: Replica,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
         required: Point,
     ) -> Result[Answer, Refusal]:
-        outcome = await _run_at(replica, call, book, deadline, required)
+        outcome = await _run_at(replica, call, transactions, deadline, required)
         replica.note(outcome.err())
         return outcome
 
@@ -265,14 +265,18 @@
 async def _run_at(
     replica: Replica,
     call: StatementCall,
-    book: TransactionTable,
+    transactions: TransactionTable,
     deadline: Monotonic,
     required: Point,
 ) -> Result[Answer, Refusal]:
     executor = replica.executor
     if call.transaction is None:
         return await executor.run_single(call, deadline, required)
-    begun = await begin_transaction(executor, call, book, deadline, required)
+    begun = await begin_transaction(
+        executor, call, transactions, deadline, required
+    )
     if isinstance(begun, Err):
         return begun
-    return await run_in_transaction(begun.ok_value, call, book, deadline)
+    return await run_in_transaction(
+        begun.ok_value, call, transactions, deadline
+    )
--- a/src/sedgeshunt/execution/runner.py
+++ b/src/sedgeshunt/execution/runner.py
@@ -25,7 +25,7 @@
 async def begin_transaction(
     executor: TargetExecutor,
     call: StatementCall,
-    book: TransactionTable,
+    transactions: TransactionTable,
     deadline: Monotonic,
     after: Point | None = None,
     *,
@@ -55,7 +55,7 @@
         read_clock(),
         is_at_primary,
     )
-    book.add(transaction)
+    transactions.add(transaction)
     executor.transactions.add(transaction)
     return Ok(transaction)
 
@@ -63,7 +63,7 @@
 async def run_in_transaction(
     transaction: OpenTransaction,
     call: StatementCall,
-    book: TransactionTable,
+    transactions: TransactionTable,
     deadline: Monotonic,
 ) -> Result[Answer, Refusal]:
     """Run one of a transaction's statements; a failed one ends it."""
@@ -76,20 +76,20 @@
         )
     except CancelledError:
         # Its caller has left in the middle of a statement.
-        book.remove(transaction)
+        transactions.remove(transaction)
         await transaction.end()
         raise
     finally:
         transaction.is_busy = False
         transaction.used_at = read_clock()
     if call.kind is CallKind.COMMIT:
-        book.remove(transaction)
+        transactions.remove(transaction)
         await _end(transaction, outcome)
         return outcome
     refusal = outcome.err()
     if refusal is None:
         return outcome
-    book.remove(transaction)
+    transactions.remove(transaction)
     await transaction.roll_back()
     return Err(_describe_loss(refusal))
 
--- a/src/sedgeshunt/execution/transactions.py
+++ b/src/sedgeshunt/execution/transactions.py
@@ -75,7 +75,7 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: 'TransactionTable',
+        transactions: 'TransactionTable',
     ) -> None:
         """Undo a transaction that its caller gives up."""
 
--- a/src/sedgeshunt/forwarding/server.py
+++ b/src/sedgeshunt/forwarding/server.py
@@ -41,7 +41,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a statement for a peer's caller."""
@@ -50,7 +50,7 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionTable,
+        transactions: TransactionTable,
     ) -> None:
         """Undo a transaction that a peer's caller gives up."""
 
@@ -90,7 +90,7 @@
         """Own what the peer begins here."""
         self._channel = channel
         self._desk = desk
-        self._book = TransactionTable()
+        self._transactions = TransactionTable()
         self._running: dict[int, Task[None]] = {}
         # Where the peer's questions for changes are answered to.
         self._receivers: dict[int, ChangeReceiver] = {}
@@ -109,7 +109,7 @@
         finally:
             for receive in self._receivers.values():
                 self._desk.stop_handing(receive)
-            await self._book.roll_back_all()
+            await self._transactions.roll_back_all()
 
     def _take(self, frame: Frame, tasks: TaskGroup) -> None:
         number = frame.number
@@ -134,7 +134,7 @@
             tasks.create_task(self._answer_spend(number, frame.spend))
         if frame.undone is not None:
             tasks.create_task(
-                self._desk.end_transaction(frame.undone, self._book),
+                self._desk.end_transaction(frame.undone, self._transactions),
             )
 
     def _give_up(self, number: int) -> None:
@@ -175,7 +175,9 @@
     async def _run(self, number: int, call: StatementCall) -> None:
         try:
             deadline = Monotonic(read_clock() + call.time_left)
-            reply = await self._desk.run_call(call, self._book, deadline)
+            reply = await self._desk.run_call(
+                call, self._transactions, deadline
+            )
             tip = self._desk.read_tip(call.group)
             self._channel.send(Frame(number, reply=reply, tip=tip))
         finally:
--- a/src/sedgeshunt/statements/dispatch.py
+++ b/src/sedgeshunt/statements/dispatch.py
@@ -70,24 +70,24 @@
     async def run(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         """Run a call that is not bound to a place yet."""
         if call.access is Access.REPLICA:
-            ran = await self._read(call, book, deadline)
+            ran = await self._read(call, transactions, deadline)
             if not isinstance(ran.outcome.err(), NotRun):
                 return ran
         return await self._run_at_owner(
             replace(call, access=Access.PRIMARY),
-            book,
+            transactions,
             deadline,
         )
 
     async def _read(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         """Read where there is room, else where the queue is shortest."""
@@ -96,27 +96,27 @@
         # replica's queue, and went to the primary only when it was too long.
         # Where the primary is busy too, they queue at the replica as before.
         prompt = replace(call, is_prompt=True)
-        ran = await self._run_at_readers(prompt, book, deadline)
+        ran = await self._run_at_readers(prompt, transactions, deadline)
         if not _is_crowded(ran.outcome.err()):
             return ran
         site = self._sites.find_owner(call.group)
         if site is not None:
             beside = replace(prompt, access=Access.PRIMARY)
-            outcome = await site.run_call(beside, book, deadline)
+            outcome = await site.run_call(beside, transactions, deadline)
             if not isinstance(outcome.err(), NotRun):
                 return Dispatched(outcome, site)
-        return await self._run_at_readers(call, book, deadline)
+        return await self._run_at_readers(call, transactions, deadline)
 
     async def _run_at_readers(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         sites = self._sites.find_readers(call.group, call.identity.customer)
         ran = Dispatched(Err(_refuse_reading(call.group)))
         for site in sites:
-            reading = site.run_call(call, book, deadline)
+            reading = site.run_call(call, transactions, deadline)
             outcome = await self._wait_reading(site, call, reading)
             ran = Dispatched(outcome, site)
             if not _may_read_elsewhere(outcome.err()):
@@ -155,14 +155,14 @@
     async def _run_at_owner(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Dispatched:
         last: Refusal | None = None
         while True:
             site = self._sites.find_owner(call.group)
             if site is not None:
-                outcome = await site.run_call(call, book, deadline)
+                outcome = await site.run_call(call, transactions, deadline)
                 last = outcome.err()
                 if not _may_repeat(last):
                     return Dispatched(outcome, site)
--- a/src/sedgeshunt/statements/peer_requests.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -86,7 +86,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a statement for a peer's caller, or pass it on to the owner."""
@@ -103,17 +103,17 @@
         if not (is_begun or self._configuration.may_still_call(call.identity)):
             reason = f'the key {call.identity.key} was taken away'
             return Err(Rejected(0, NO_CUSTOMER, reason))
-        if call.is_relayed or not _must_relay(access, call, book):
-            return await access.run_call(call, book, deadline)
-        return await self._relay(call, book, deadline)
+        if call.is_relayed or not _must_relay(access, call, transactions):
+            return await access.run_call(call, transactions, deadline)
+        return await self._relay(call, transactions, deadline)
 
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionTable,
+        transactions: TransactionTable,
     ) -> None:
         """Undo a peer's transaction."""
-        await book.roll_back(transaction)
+        await transactions.roll_back(transaction)
 
     async def reaches(self, group: GroupId, target: TargetId) -> bool:
         """Tell whether a target that leads its group is reached from here."""
@@ -161,7 +161,7 @@
     async def _relay(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         site = self._owners.find_direct(call.group)
@@ -174,17 +174,17 @@
                 ),
             )
         if call.transaction is not None:
-            book.note_relayed(call.transaction, site)
-        return await site.run_call(call, book, deadline)
+            transactions.note_relayed(call.transaction, site)
+        return await site.run_call(call, transactions, deadline)
 
 
 def _must_relay(
     access: GroupAccess,
     call: StatementCall,
-    book: TransactionTable,
+    transactions: TransactionTable,
 ) -> bool:
     if call.transaction is not None and not call.begins:
-        return book.is_relayed(call.transaction)
+        return transactions.is_relayed(call.transaction)
     return call.access is Access.PRIMARY and access.owner is None
 
 
--- a/src/sedgeshunt/statements/session.py
+++ b/src/sedgeshunt/statements/session.py
@@ -102,7 +102,7 @@
         self._prepared: dict[str, PreparedStatement] = {}
         self._commits: dict[GroupId, Point] = {}
         self._transaction: CallerTransaction | None = None
-        self._book = TransactionTable()
+        self._transactions = TransactionTable()
         self._numbers = count(1)
 
     @property
@@ -133,7 +133,7 @@
     async def close(self) -> None:
         """Undo an open transaction; the caller has left."""
         await self._drop_transaction()
-        await self._book.roll_back_all()
+        await self._transactions.roll_back_all()
 
     def _begin(self, statement: Statement) -> _Outcome:
         if self._transaction is not None:
@@ -260,7 +260,9 @@
             transaction.site = ran.site
         else:
             ran = Dispatched(
-                await transaction.site.run_call(call, self._book, deadline),
+                await transaction.site.run_call(
+                    call, self._transactions, deadline
+                ),
                 transaction.site,
             )
         self._record(call, ran, began)
@@ -275,7 +277,7 @@
         refusal = await self._gate.admit(call.identity)
         if refusal is not None:
             return Dispatched(Err(refusal))
-        return await self._dispatcher.run(call, self._book, deadline)
+        return await self._dispatcher.run(call, self._transactions, deadline)
 
     def _record(
         self,
@@ -359,7 +361,9 @@
         self._transaction = None
         if transaction is None or transaction.site is None:
             return
-        await transaction.site.end_transaction(transaction.id, self._book)
+        await transaction.site.end_transaction(
+            transaction.id, self._transactions
+        )
 
 
 _LOCAL = frozenset(
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -27,10 +27,10 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a call; `book` keeps transactions that are run here."""
+        """Run a call; `transactions` keeps transactions that are run here."""
 
     @abstractmethod
     def is_answering(self) -> bool:
@@ -48,11 +48,11 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
-        return await self._access.run_call(call, book, deadline)
+        return await self._access.run_call(call, transactions, deadline)
 
     def is_answering(self) -> bool:
         """Tell that it is here."""
@@ -61,10 +61,10 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionTable,
+        transactions: TransactionTable,
     ) -> None:
         """Undo a transaction that its caller gives up."""
-        await book.roll_back(transaction)
+        await transactions.roll_back(transaction)
 
 
 class PeerSite(CallSite):
@@ -79,7 +79,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionTable,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Have the peer run a call."""
@@ -94,7 +94,7 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionTable,
+        transactions: TransactionTable,
     ) -> None:
         """Have the peer undo a transaction."""
         self._link.end_transaction(transaction)
