--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -6,14 +6,14 @@
 from result import Err, Result
 
 from sedgeshunt.execution.group_owner import GroupOwner
-from sedgeshunt.execution.keeper_parts import KeeperParts
+from sedgeshunt.execution.primary_context import PrimaryContext
 from sedgeshunt.execution.primary_keeper import PrimaryKeeper
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.replica_reader import ReplicaReader
 from sedgeshunt.execution.runner import run_in_transaction
 from sedgeshunt.execution.target_executor import TargetExecutor
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds
 from sedgeshunt.ownership.claims import GroupClaim
@@ -36,7 +36,7 @@
         claim: GroupClaim,
         reader: ReplicaReader,
         probe: PrimaryProbe,
-        parts: KeeperParts,
+        parts: PrimaryContext,
     ) -> None:
         """Own nothing yet."""
         self.group = group
@@ -72,14 +72,14 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
         if call.transaction is not None and not call.begins:
-            return await self._continue(call, book, deadline)
+            return await self._continue(call, transactions, deadline)
         if call.access is Access.REPLICA:
-            return await self.reader.run_call(call, book, deadline)
+            return await self.reader.run_call(call, transactions, deadline)
         if self.owner is None:
             return Err(
                 NotRun(
@@ -88,7 +88,7 @@
                     NOT_OWNER_RETRY,
                 ),
             )
-        return await self.owner.run_call(call, book, deadline)
+        return await self.owner.run_call(call, transactions, deadline)
 
     async def _serve(self, reign: GroupOwnership) -> None:
         state = PrimaryState(self.group)
@@ -127,21 +127,25 @@
     async def _continue(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        transaction = book.get(call.transaction) if call.transaction else None
+        transaction = (
+            transactions.get(call.transaction) if call.transaction else None
+        )
         if transaction is not None and not transaction.is_at_primary:
-            return await run_in_transaction(transaction, call, book, deadline)
+            return await run_in_transaction(
+                transaction, call, transactions, deadline
+            )
         if transaction is not None and self.owner is not None:
             return await self.owner.continue_transaction(
                 transaction,
                 call,
-                book,
+                transactions,
                 deadline,
             )
         if transaction is not None:
-            book.remove(transaction)
+            transactions.remove(transaction)
             await transaction.abort()
         return Err(
             NotRun(
--- a/src/sedgeshunt/execution/runner.py
+++ b/src/sedgeshunt/execution/runner.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.target_executor import TargetExecutor
-from sedgeshunt.execution.transactions import OpenTransaction, TransactionBook
+from sedgeshunt.execution.transactions import OpenTransaction, TransactionTable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import Monotonic, Seconds
 from sedgeshunt.requests.outcome import (
@@ -25,7 +25,7 @@
 async def begin_transaction(
     executor: TargetExecutor,
     call: StatementCall,
-    book: TransactionBook,
+    transactions: TransactionTable,
     deadline: Monotonic,
     after: Point | None = None,
     *,
@@ -55,7 +55,7 @@
         read_clock(),
         is_at_primary,
     )
-    book.add(transaction)
+    transactions.add(transaction)
     executor.transactions.add(transaction)
     return Ok(transaction)
 
@@ -63,7 +63,7 @@
 async def run_in_transaction(
     transaction: OpenTransaction,
     call: StatementCall,
-    book: TransactionBook,
+    transactions: TransactionTable,
     deadline: Monotonic,
 ) -> Result[Answer, Refusal]:
     """Run one of a transaction's statements; a failed one ends it."""
@@ -76,21 +76,21 @@
         )
     except CancelledError:
         # Its caller has left in the middle of a statement.
-        book.remove(transaction)
+        transactions.remove(transaction)
         await transaction.end()
         raise
     finally:
         transaction.is_busy = False
         transaction.used_at = read_clock()
     if call.kind is CallKind.COMMIT:
-        book.remove(transaction)
+        transactions.remove(transaction)
         await _end(transaction, outcome)
         return outcome
     refusal = outcome.err()
     if refusal is None:
         return outcome
-    book.remove(transaction)
-    await transaction.undo()
+    transactions.remove(transaction)
+    await transaction.roll_back()
     return Err(_describe_loss(refusal))
 
 
@@ -101,7 +101,7 @@
     if isinstance(outcome, Ok):
         await transaction.end()
     else:
-        await transaction.undo()
+        await transaction.roll_back()
 
 
 def _describe_loss(refusal: Refusal) -> Refusal:
--- a/src/sedgeshunt/statements/peer_desk.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -15,9 +15,9 @@
 from sedgeshunt.exceptions import PlatformUnavailable
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable
-from sedgeshunt.execution.keeper_parts import PeerOpinions
+from sedgeshunt.execution.primary_context import PeerQueries
 from sedgeshunt.execution.statuses import STATUS_LIMIT, read_status
-from sedgeshunt.execution.transactions import TransactionBook
+from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.forwarding.messages import (
     Heartbeat,
@@ -63,7 +63,7 @@
 KEEP_LIMIT = Seconds(0.2)
 
 
-class LocalDesk(PeerRequestHandler):
+class LocalRequestHandler(PeerRequestHandler):
     """Run peers' calls, or pass them on, and answer their questions."""
 
     def __init__(
@@ -90,7 +90,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a statement for a peer's caller, or pass it on to the owner."""
@@ -107,17 +107,17 @@
         if not (is_begun or self._configuration.is_key_valid(call.identity)):
             reason = f'the key {call.identity.key} was taken away'
             return Err(Rejected(0, NO_CUSTOMER, reason))
-        if call.is_relayed or not _must_relay(access, call, book):
-            return await access.run_call(call, book, deadline)
-        return await self._relay(call, book, deadline)
+        if call.is_relayed or not _must_relay(access, call, transactions):
+            return await access.run_call(call, transactions, deadline)
+        return await self._relay(call, transactions, deadline)
 
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        transactions: TransactionTable,
     ) -> None:
         """Undo a peer's transaction."""
-        await book.undo(transaction)
+        await transactions.roll_back(transaction)
 
     async def can_reach(self, group: GroupId, target: TargetId) -> bool:
         """Tell whether a target that leads its group is reached from here."""
@@ -165,7 +165,7 @@
     async def _relay(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         site = self._owners.find_direct(call.group)
@@ -178,21 +178,21 @@
                 ),
             )
         if call.transaction is not None:
-            book.note_relayed(call.transaction, site)
-        return await site.run_call(call, book, deadline)
+            transactions.note_relayed(call.transaction, site)
+        return await site.run_call(call, transactions, deadline)
 
 
 def _must_relay(
     access: GroupAccess,
     call: StatementCall,
-    book: TransactionBook,
+    transactions: TransactionTable,
 ) -> bool:
     if call.transaction is not None and not call.begins:
-        return book.is_relayed(call.transaction)
+        return transactions.is_relayed(call.transaction)
     return call.access is Access.PRIMARY and access.owner is None
 
 
-class HeardOpinions(PeerOpinions, LeaseRelay):
+class ReachablePeers(PeerQueries, LeaseRelay):
     """Ask the peers that are heard."""
 
     def __init__(
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -7,7 +7,10 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.group_access import GroupAccess
-from sedgeshunt.execution.transactions import TransactionBook, TransactionKeeper
+from sedgeshunt.execution.transactions import (
+    TransactionTable,
+    TransactionKeeper,
+)
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.identifiers import Monotonic, Seconds, TransactionId
 from sedgeshunt.requests.outcome import Answer, Refusal
@@ -24,10 +27,10 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a call; `book` keeps transactions that are run here."""
+        """Run a call; `transactions` keeps transactions that are run here."""
 
     @abstractmethod
     def is_answering(self) -> bool:
@@ -45,11 +48,11 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
-        return await self._access.run_call(call, book, deadline)
+        return await self._access.run_call(call, transactions, deadline)
 
     def is_answering(self) -> bool:
         """Tell that it is here."""
@@ -58,10 +61,10 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        transactions: TransactionTable,
     ) -> None:
         """Undo a transaction that its caller gives up."""
-        await book.undo(transaction)
+        await transactions.roll_back(transaction)
 
 
 class PeerSite(CallSite):
@@ -76,7 +79,7 @@
     async def run_call(
         self,
         call: StatementCall,
-        book: TransactionBook,
+        transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Have the peer run a call."""
@@ -91,7 +94,7 @@
     async def end_transaction(
         self,
         transaction: TransactionId,
-        book: TransactionBook,
+        transactions: TransactionTable,
     ) -> None:
         """Have the peer undo a transaction."""
         self._link.end_transaction(transaction)
