--- a/benchmarks/reads.py
+++ b/benchmarks/reads.py
@@ -69,7 +69,7 @@
         ranking = rank(service, *given)
         primary = service.view.get_primary()
         eligible = () if primary is None else (primary,)
-        return Ranking(eligible, ranking.verdicts, None)
+        return Ranking(eligible, ranking.assessments, None)
 
     def need_nothing(session: SessionState, group: GroupId) -> bool:
         """Read with no barrier, as the primary has every write."""
--- a/src/sedgeshunt/burn/gap_watch.py
+++ b/src/sedgeshunt/burn/gap_watch.py
@@ -47,7 +47,7 @@
 
     def _tell_refused(self) -> None:
         why = 'no majority of the targets answers'
-        if self._view.hears_majority():
+        if self._view.reaches_majority():
             why = 'no primary is known'
         self._decisions.record(
             Decision(
@@ -59,7 +59,7 @@
 
     def _takes_writes(self) -> bool:
         view = self._view
-        return view.get_primary() is not None and view.hears_majority()
+        return view.get_primary() is not None and view.reaches_majority()
 
     def _find_proof(self) -> Monotonic | None:
         # Silence is suspected only after a while, and writes fail before:
@@ -72,5 +72,5 @@
         return min(self._read_heard(primary), heard[-states.majority])
 
     def _read_heard(self, target: TargetId) -> Monotonic:
-        heard_at = self._view.states.find_liveness(target).heard_at
+        heard_at = self._view.states.find_liveness(target).last_answer_at
         return Monotonic(0) if heard_at is None else heard_at
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -29,7 +29,7 @@
     Refusal,
     Unknown,
 )
-from sedgeshunt.routing.freshness import FreshnessProof
+from sedgeshunt.routing.freshness_history import FreshnessHistory
 from sedgeshunt.statements.call import StatementCall
 
 NOT_OWNER_RETRY = Seconds(0.1)
@@ -45,7 +45,7 @@
         reign: Reign,
         state: PrimaryState,
         keeper: PrimaryKeeper,
-        freshness: FreshnessProof,
+        freshness: FreshnessHistory,
     ) -> None:
         """Serve nothing before run() has found the primary."""
         self.reign = reign
@@ -78,7 +78,7 @@
         if executor is None or not self.reign.is_held():
             return None
         if executor.tip is not None:
-            self._freshness.note(read_boottime(), executor.tip)
+            self._freshness.record(read_boottime(), executor.tip)
         return executor.tip
 
     async def run_call(
--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -25,7 +25,7 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.registry.entries import InstanceEntry
 from sedgeshunt.registry.store_view import StoreView
-from sedgeshunt.routing.freshness import FreshnessProof
+from sedgeshunt.routing.freshness_history import FreshnessHistory
 
 
 class _KnownPlan(Struct, frozen=True):
@@ -94,7 +94,7 @@
         """Take in a primary's log end and when it was asked for."""
         access = self._groups.get(group)
         if access is not None:
-            access.freshness.note(asked_at, tip)
+            access.freshness.record(asked_at, tip)
 
     async def follow(self, tasks: TaskGroup) -> None:
         """Start and stop groups as they are declared."""
@@ -122,7 +122,7 @@
                 self._own.zone,
                 self._configuration,
                 self._connector,
-                FreshnessProof(),
+                FreshnessHistory(),
                 self._find_share,
             ),
             PrimaryProbe(
--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -9,11 +9,11 @@
 from sedgeshunt.execution.keeper_parts import KeeperParts
 from sedgeshunt.execution.statuses import read_status, read_statuses
 from sedgeshunt.groups.points import Point
-from sedgeshunt.groups.successors import find_leader
+from sedgeshunt.groups.successors import find_primary
 from sedgeshunt.identifiers import Seconds, TargetId, Term
 from sedgeshunt.ownership.reign import Reign
 from sedgeshunt.registry.directory import GroupMembers, KnownTarget
-from sedgeshunt.routing.freshness import FreshnessProof
+from sedgeshunt.routing.freshness_history import FreshnessHistory
 
 RETRY_PAUSE = Seconds(0.05)
 # With no primary in sight for so long, another target is promoted.
@@ -34,7 +34,7 @@
         self,
         reign: Reign,
         parts: KeeperParts,
-        freshness: FreshnessProof,
+        freshness: FreshnessHistory,
     ) -> None:
         """Ask on behalf of `reign`."""
         self._reign = reign
@@ -100,7 +100,7 @@
             for name, status in statuses.items()
             if not self.is_reborn(members.find(name))
         }
-        leader = find_leader(trusted, least, seen)
+        leader = find_primary(trusted, least, seen)
         known = None if leader is None else members.find(leader)
         if leader is None or known is None:
             return None
--- a/src/sedgeshunt/execution/primary_keeper.py
+++ b/src/sedgeshunt/execution/primary_keeper.py
@@ -34,7 +34,7 @@
 )
 from sedgeshunt.ownership.reign import Reign
 from sedgeshunt.registry.directory import GroupMembers
-from sedgeshunt.routing.freshness import FreshnessProof
+from sedgeshunt.routing.freshness_history import FreshnessHistory
 
 # A connection that broke says little while others go on.
 SETTLE_AFTER = Seconds(0.03)
@@ -63,7 +63,7 @@
         state: PrimaryState,
         probe: PrimaryProbe,
         parts: KeeperParts,
-        freshness: FreshnessProof,
+        freshness: FreshnessHistory,
     ) -> None:
         """Keep nothing before run()."""
         self._reign = reign
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -28,7 +28,7 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.registry.directory import GroupMembers, KnownTarget
 from sedgeshunt.requests.outcome import Answer, Cause, NotRun, Refusal
-from sedgeshunt.routing.freshness import FreshnessProof
+from sedgeshunt.routing.freshness_history import FreshnessHistory
 from sedgeshunt.statements.call import StatementCall
 
 # The caller counts a commit from its acknowledgement's arrival, this proxy
@@ -95,7 +95,7 @@
         zone: ZoneId,
         configuration: LiveConfiguration,
         connector: TargetSessionConnector,
-        freshness: FreshnessProof,
+        freshness: FreshnessHistory,
         find_share: Callable[[Group, ZoneId], ReaderShare | None],
     ) -> None:
         """Connect to nothing before the first read."""
@@ -183,7 +183,7 @@
 
     def _find_required(self, call: StatementCall) -> Point | None:
         since = Boottime(read_boottime() - call.max_age + AGE_MARGIN)
-        return self.freshness.find(since, call.after)
+        return self.freshness.find_covering(since, call.after)
 
     async def _try(
         self,
--- a/src/sedgeshunt/execution/signs.py
+++ b/src/sedgeshunt/execution/signs.py
@@ -10,7 +10,7 @@
 from sedgeshunt.execution.statuses import read_status, read_statuses
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.groups.points import Point
-from sedgeshunt.groups.successors import is_behind
+from sedgeshunt.groups.successors import is_truncated
 from sedgeshunt.identifiers import (
     GroupId,
     Monotonic,
@@ -42,7 +42,7 @@
         """Tell whether the primary's log ends before what it had shown."""
         if self.status is None:
             return False
-        return is_behind(self.status.received, self.shown)
+        return is_truncated(self.status.received, self.shown)
 
     def is_leading(self) -> bool:
         """Tell whether the primary says that it leads."""
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -27,7 +27,7 @@
     TransactionPlace,
 )
 from sedgeshunt.groups.points import Point
-from sedgeshunt.groups.successors import is_behind
+from sedgeshunt.groups.successors import is_truncated
 from sedgeshunt.identifiers import Monotonic, Seconds
 from sedgeshunt.limits.admission import TargetAdmission
 from sedgeshunt.limits.concurrency import FixedConcurrency
@@ -331,7 +331,7 @@
 
     def check_life(self, seen: Point | None, session: TargetSession) -> bool:
         """Tell whether a new session's log has what was `seen` before it."""
-        if not self._is_primary or not is_behind(session.point, seen):
+        if not self._is_primary or not is_truncated(session.point, seen):
             return True
         self.has_lost_log = True
         self.failed.set()
--- a/src/sedgeshunt/explanation.py
+++ b/src/sedgeshunt/explanation.py
@@ -116,17 +116,22 @@
             needed_point='none' if point is None else f'{point}',
             primary=primary or 'none',
             newest_term=service.view.newest_term,
-            takes_writes=primary is not None and service.view.hears_majority(),
+            takes_writes=primary is not None
+            and service.view.reaches_majority(),
             chosen=next(iter(ranking.eligible), 'none'),
             targets=[
                 TargetLine(
-                    target=str(verdict.target),
-                    eligible=verdict.rule is None,
-                    rule='' if verdict.rule is None else verdict.rule.value,
-                    detail=verdict.detail,
-                    running=service.services[verdict.target].admission.running,
-                    queued=service.services[verdict.target].admission.queued,
+                    target=str(assessment.target),
+                    eligible=assessment.rule is None,
+                    rule=''
+                    if assessment.rule is None
+                    else assessment.rule.value,
+                    detail=assessment.detail,
+                    running=service.services[
+                        assessment.target
+                    ].admission.running,
+                    queued=service.services[assessment.target].admission.queued,
                 )
-                for verdict in ranking.verdicts
+                for assessment in ranking.assessments
             ],
         )
--- a/src/sedgeshunt/forwarding/link.py
+++ b/src/sedgeshunt/forwarding/link.py
@@ -189,13 +189,13 @@
                     CONNECT_LIMIT,
                 )
             except PeerUnreachable:
-                await sleep(self._backoff.draw())
+                await sleep(self._backoff.compute_delay())
                 continue
             try:
                 await self._use(channel)
             finally:
                 self._drop(channel)
-            await sleep(self._backoff.draw())
+            await sleep(self._backoff.compute_delay())
 
     async def call(
         self,
--- a/src/sedgeshunt/group_runtime.py
+++ b/src/sedgeshunt/group_runtime.py
@@ -9,7 +9,7 @@
 from sedgeshunt.burn.gap_watch import GapWatch
 from sedgeshunt.configuration.objects import LEAVING, STATE_LABEL, Target
 from sedgeshunt.configuration.snapshot import Snapshot
-from sedgeshunt.groups.keeper import GroupKeeper
+from sedgeshunt.groups.supervisor import GroupSupervisor
 from sedgeshunt.identifiers import ProxyId
 from sedgeshunt.requests.group_service import GroupService
 
@@ -20,7 +20,7 @@
     def __init__(
         self,
         service: GroupService,
-        keeper: GroupKeeper,
+        keeper: GroupSupervisor,
         is_leaving: Callable[[Target], bool],
         list_proxies: Callable[[], Sequence[ProxyId]],
         gaps: GapWatch,
--- a/src/sedgeshunt/groups/calls.py
+++ b/src/sedgeshunt/groups/adaptive_timeout.py
@@ -13,7 +13,7 @@
 GROWTH = 2
 
 
-class CallTimer:
+class AdaptiveTimeout:
     """Give a target more time after each call that it did not answer."""
 
     def __init__(self) -> None:
--- a/src/sedgeshunt/groups/backoff.py
+++ b/src/sedgeshunt/groups/backoff.py
@@ -27,7 +27,7 @@
         """Start again with the shortest delay."""
         self._next = self._shortest
 
-    def draw(self) -> Seconds:
+    def compute_delay(self) -> Seconds:
         """Return the next delay, never below the shortest."""
         delay = self._next
         self._next = Seconds(min(self._longest, GROWTH * delay))
--- a/src/sedgeshunt/groups/elections.py
+++ b/src/sedgeshunt/groups/elections.py
@@ -9,9 +9,9 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.exceptions import SedgeshuntError
 from sedgeshunt.groups.deadlines import has_passed
-from sedgeshunt.groups.link import TargetLink
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.groups.status import Role, TargetStatus
+from sedgeshunt.groups.target_monitor import TargetMonitor
 from sedgeshunt.identifiers import Seconds, TargetId, Term
 
 FENCE_TIMEOUT = Seconds(0.6)
@@ -29,7 +29,7 @@
 
 
 async def fence_members(
-    links: Sequence[TargetLink],
+    links: Sequence[TargetMonitor],
     term: Term,
     majority: int,
 ) -> list[TargetStatus]:
@@ -75,14 +75,14 @@
                 # Two proxies that each miss another target would hand the
                 # lead to and fro; drawn anew in each term, it comes to one
                 # that both can reach.
-                weigh(status.fencing_term, status.target),
+                compute_weight(status.fencing_term, status.target),
             ),
         ),
     )
 
 
 async def promote_target(
-    link: TargetLink,
+    link: TargetMonitor,
     term: Term,
 ) -> Result[TargetStatus, str]:
     """Promote the chosen target."""
@@ -97,8 +97,8 @@
     return Ok(status)
 
 
-async def lead_others(
-    links: Iterable[TargetLink],
+async def repoint_replicas(
+    links: Iterable[TargetMonitor],
     term: Term,
     primary: TargetId,
 ) -> None:
--- a/src/sedgeshunt/groups/causes.py
+++ b/src/sedgeshunt/groups/failure_detector.py
@@ -8,7 +8,7 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.groups.liveness import SUSPICION_TIME
 from sedgeshunt.groups.points import ORIGIN, Point
-from sedgeshunt.groups.stall import StallWatch
+from sedgeshunt.groups.stall_detector import StallDetector
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId, Term
 
@@ -20,7 +20,7 @@
 MOVE_PATIENCE = Seconds(3)
 
 
-class Cause(Enum):
+class SuspicionCause(Enum):
     """Name why a group needs another primary."""
 
     REFUSED = 'the primary refuses connections'
@@ -28,30 +28,32 @@
     MISSING = 'no primary is known in the newest term'
     STALLED = 'the group copies nothing from the primary'
     LEAVING = 'the primary is leaving'
-    LEFT_BEHIND = 'the primary is leaving and all others lag'
+    REPLICAS_LAG = 'the primary is leaving and all others lag'
 
 
 # Peers may have heard a primary that this proxy cannot reach.
-DOUBTFUL = frozenset((Cause.REFUSED, Cause.SILENT, Cause.MISSING))
+REFUTABLE_CAUSES = frozenset(
+    (SuspicionCause.REFUSED, SuspicionCause.SILENT, SuspicionCause.MISSING)
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
     """Hold a cause, the primary concerned and since when it stands."""
 
-    cause: Cause
+    cause: SuspicionCause
     term: Term
     leader: TargetId | None
     since: Monotonic
 
 
-class PrimaryJudge:
+class FailureDetector:
     """Judge by what one proxy sees."""
 
     def __init__(self, view: GroupView) -> None:
         """Judge the group of `view`."""
         self.leaving: Set[TargetId] = frozenset()
-        self._stall = StallWatch(view)
+        self._stall = StallDetector(view)
         self._view = view
         self._leaving_since: Monotonic | None = None
         # The primary's log ends as seen by the last judgements.
@@ -65,9 +67,9 @@
         stalled_since = self._stall.find_stall()
         # A proxy that hears no majority can only fence a minority, which
         # stops the writes of everyone else without electing anybody.
-        if not self._view.hears_majority():
+        if not self._view.reaches_majority():
             return None
-        leader = self._view.find_leader()
+        leader = self._view.find_newest_primary()
         if leader is None:
             return self._judge_missing()
         return (
@@ -82,7 +84,9 @@
         since = max(seen_at, self._view.pauses.resumed_at)
         if read_clock() - since <= SUSPICION_TIME:
             return None
-        return Suspicion(Cause.MISSING, self._view.newest_term, None, since)
+        return Suspicion(
+            SuspicionCause.MISSING, self._view.newest_term, None, since
+        )
 
     def _judge_silence(self, leader: TargetId) -> Suspicion | None:
         now = read_clock()
@@ -90,11 +94,11 @@
         liveness = self._view.states.find_liveness(leader)
         refused_at = liveness.find_refusal(resumed_at)
         if refused_at is not None:
-            return self._suspect(Cause.REFUSED, leader, refused_at)
-        since = max(liveness.heard_at or Monotonic(0), resumed_at)
+            return self._suspect(SuspicionCause.REFUSED, leader, refused_at)
+        since = max(liveness.last_answer_at or Monotonic(0), resumed_at)
         if now - since <= liveness.get_suspicion_time(now):
             return None
-        return self._suspect(Cause.SILENT, leader, since)
+        return self._suspect(SuspicionCause.SILENT, leader, since)
 
     def _judge_stall(
         self,
@@ -103,11 +107,11 @@
     ) -> Suspicion | None:
         if since is None:
             return None
-        heard = self._view.states.list_heard(read_clock())
+        heard = self._view.states.list_responsive(read_clock())
         others = [target for target in heard if target != leader]
         if len(others) < self._view.states.majority:
             return None
-        return self._suspect(Cause.STALLED, leader, since)
+        return self._suspect(SuspicionCause.STALLED, leader, since)
 
     def _judge_leaving(self, leader: TargetId) -> Suspicion | None:
         now = read_clock()
@@ -117,17 +121,17 @@
             return None
         if self._leaving_since is None:
             self._leaving_since = now
-        heard = self._view.states.list_heard(now)
+        heard = self._view.states.list_responsive(now)
         staying = [target for target in heard if target not in self.leaving]
         # A move stops the writes. It is not begun before it can succeed, or
         # a leaving primary without a successor would stop them for ever.
         tip = self._note_tip(leader)
         if any(self._view.covers(target, tip) for target in staying):
-            return self._suspect(Cause.LEAVING, leader, now)
+            return self._suspect(SuspicionCause.LEAVING, leader, now)
         is_patient = now - self._leaving_since <= MOVE_PATIENCE
         if is_patient or len(staying) < self._view.states.majority:
             return None
-        return self._suspect(Cause.LEFT_BEHIND, leader, now)
+        return self._suspect(SuspicionCause.REPLICAS_LAG, leader, now)
 
     def _note_tip(self, leader: TargetId) -> Point:
         status = self._view.get_status(leader)
@@ -136,7 +140,7 @@
 
     def _suspect(
         self,
-        cause: Cause,
+        cause: SuspicionCause,
         leader: TargetId,
         since: Monotonic,
     ) -> Suspicion:
--- a/src/sedgeshunt/groups/invariants.py
+++ b/src/sedgeshunt/groups/invariants.py
@@ -24,7 +24,7 @@
     detail: str
 
 
-class Succession(Enum):
+class AnswerOrder(Enum):
     """Tell how an answer relates to the one before it."""
 
     NEXT = 'next'
@@ -34,13 +34,13 @@
     BROKEN = 'broken'
 
 
-def classify_answer(earlier: Observation, later: Observation) -> Succession:
+def classify_answer(earlier: Observation, later: Observation) -> AnswerOrder:
     """Tell whether `later` may follow `earlier`."""
     if find_regression(earlier.status, later.status) is None:
-        return Succession.NEXT
+        return AnswerOrder.NEXT
     if later.asked_at < earlier.answered_at:
-        return Succession.LATE
-    return Succession.BROKEN
+        return AnswerOrder.LATE
+    return AnswerOrder.BROKEN
 
 
 def find_regression(
--- a/src/sedgeshunt/groups/liveness.py
+++ b/src/sedgeshunt/groups/liveness.py
@@ -14,13 +14,13 @@
 REFUSALS_APART = Seconds(0.05)
 
 
-class Liveness:
+class TargetLiveness:
     """Hold the evidence that one target runs."""
 
     def __init__(self) -> None:
         """Start without evidence."""
         self.linked = False
-        self.heard_at: Monotonic | None = None
+        self.last_answer_at: Monotonic | None = None
         self.asked_at: Monotonic | None = None
         self._slowest = Seconds(0)
         self._slowest_at = Monotonic(0)
@@ -31,7 +31,7 @@
         """Take in an answer."""
         self.linked = True
         now = observation.answered_at
-        self.heard_at = max(now, self.heard_at or now)
+        self.last_answer_at = max(now, self.last_answer_at or now)
         self.asked_at = max(observation.asked_at, self.asked_at or now)
         self._refused_at = None
         self._refused_again_at = None
@@ -39,7 +39,7 @@
         if observation.asked_at >= resumed_at:
             self._note_slowness(observation)
 
-    def lose(
+    def record_disconnect(
         self,
         now: Monotonic,
         resumed_at: Monotonic,
@@ -71,11 +71,11 @@
         slowest = Seconds(SLOWNESS_FACTOR * self._read_slowness(now))
         return min(LONGEST_SUSPICION_TIME, max(SUSPICION_TIME, slowest))
 
-    def is_heard(self, now: Monotonic) -> bool:
+    def is_responsive(self, now: Monotonic) -> bool:
         """Tell whether the target is linked and not suspected."""
-        if not self.linked or self.heard_at is None:
+        if not self.linked or self.last_answer_at is None:
             return False
-        return now - self.heard_at <= self.get_suspicion_time(now)
+        return now - self.last_answer_at <= self.get_suspicion_time(now)
 
     def measure_silence(self, now: Monotonic) -> Seconds | None:
         """Return the time since the last answered question, None if none."""
--- a/src/sedgeshunt/groups/members.py
+++ b/src/sedgeshunt/groups/members.py
@@ -4,12 +4,12 @@
 
 from sedgeshunt.clocks import PauseWatch, read_clock
 from sedgeshunt.groups.invariants import (
-    Succession,
+    AnswerOrder,
     Violation,
     classify_answer,
     find_regression,
 )
-from sedgeshunt.groups.liveness import Liveness
+from sedgeshunt.groups.liveness import TargetLiveness
 from sedgeshunt.groups.quorum import count_majority
 from sedgeshunt.groups.status import Observation, TargetStatus
 from sedgeshunt.identifiers import Monotonic, TargetId
@@ -22,7 +22,7 @@
         """Start without members."""
         self.majority = 1
         self._pauses = pauses
-        self._liveness: dict[TargetId, Liveness] = {}
+        self._liveness: dict[TargetId, TargetLiveness] = {}
         self._latest: dict[TargetId, Observation] = {}
         self._barred: set[TargetId] = set()
 
@@ -34,7 +34,7 @@
         """Keep what is known of `targets` and forget the others."""
         self.majority = count_majority(len(targets))
         self._liveness = {
-            target: self._liveness.get(target) or Liveness()
+            target: self._liveness.get(target) or TargetLiveness()
             for target in targets
         }
         self._latest = {
@@ -53,21 +53,23 @@
             self._latest[target] = observation
             return None
         succession = classify_answer(earlier, observation)
-        if succession is Succession.NEXT:
+        if succession is AnswerOrder.NEXT:
             self._latest[target] = observation
             self._barred.discard(target)
-        if succession is not Succession.BROKEN or target in self._barred:
+        if succession is not AnswerOrder.BROKEN or target in self._barred:
             return None
         # Barred until it shows again all that it has shown before: copied
         # anew from the primary, the log is as good as it was.
         self._barred.add(target)
         return find_regression(earlier.status, observation.status)
 
-    def lose(self, target: TargetId, refused: bool) -> None:
+    def record_disconnect(self, target: TargetId, refused: bool) -> None:
         """Take in that the link to `target` broke or was refused."""
         liveness = self._liveness.get(target)
         if liveness is not None:
-            liveness.lose(read_clock(), self._pauses.resumed_at, refused)
+            liveness.record_disconnect(
+                read_clock(), self._pauses.resumed_at, refused
+            )
 
     def get_status(self, target: TargetId) -> TargetStatus | None:
         """Return the latest answer of `target`, unless it lost data."""
@@ -80,9 +82,9 @@
         """Return the latest answer with its readings, as get_status does."""
         return None if target in self._barred else self._latest.get(target)
 
-    def find_liveness(self, target: TargetId) -> Liveness:
+    def find_liveness(self, target: TargetId) -> TargetLiveness:
         """Return the evidence that `target` runs, empty for strangers."""
-        return self._liveness.get(target) or Liveness()
+        return self._liveness.get(target) or TargetLiveness()
 
     def list_members(self) -> list[TargetId]:
         """List the names of all members."""
@@ -98,10 +100,10 @@
             if target not in self._barred
         ]
 
-    def list_heard(self, now: Monotonic) -> list[TargetId]:
+    def list_responsive(self, now: Monotonic) -> list[TargetId]:
         """List the members that are linked and not suspected."""
         return [
             target
             for target, liveness in self._liveness.items()
-            if liveness.is_heard(now) and target not in self._barred
+            if liveness.is_responsive(now) and target not in self._barred
         ]
--- a/src/sedgeshunt/groups/context.py
+++ b/src/sedgeshunt/groups/monitor_context.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
-from sedgeshunt.groups.repair import Repair
+from sedgeshunt.groups.repair import ReplicaRepair
 from sedgeshunt.groups.status import Observation
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import TargetId
@@ -12,12 +12,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkContext:
+class MonitorContext:
     """Hold what the links of one group share."""
 
     connector: TargetConnector
     view: GroupView
-    repair: Repair
+    repair: ReplicaRepair
     decisions: DecisionLog
 
     def record(self, observation: Observation) -> None:
--- a/src/sedgeshunt/groups/panel.py
+++ b/src/sedgeshunt/groups/peer_query.py
@@ -7,9 +7,9 @@
 from sedgeshunt.ports import PrimaryReport
 
 
-class PeerPanel(ABC):
+class PeerQuery(ABC):
     """Put one question to all reachable proxies at once."""
 
     @abstractmethod
-    async def ask_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
+    async def query_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
         """Return the answers that came within a short time; never raise."""
--- a/src/sedgeshunt/groups/pace.py
+++ b/src/sedgeshunt/groups/polling.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class PollTiming:
     """Hold how long a poll may wait and how far polls are apart."""
 
     wait: Seconds
@@ -16,15 +16,15 @@
     spacing: Seconds
 
 
-class Demand(Enum):
+class PollUrgency(Enum):
     """Name what the callers need of the next answers."""
 
     # Nobody waits: what changes is told by the long poll at once.
-    NONE = Pace(Seconds(0.05), Seconds(0.01))
+    NONE = PollTiming(Seconds(0.05), Seconds(0.01))
     # The primary may be gone: a fence must not queue behind a long poll.
-    PRIMARY = Pace(Seconds(0.01), Seconds(0.01))
+    PRIMARY = PollTiming(Seconds(0.01), Seconds(0.01))
     # Reads needed fresh answers of late, the next will come soon.
-    RECENT = Pace(Seconds(0.01), Seconds(0.01))
-    WRITES = Pace(Seconds(0.02), Seconds(0.004))
+    RECENT = PollTiming(Seconds(0.01), Seconds(0.01))
+    WRITES = PollTiming(Seconds(0.02), Seconds(0.004))
     # A read waits for an answer asked for after its session opened.
-    FRESH = Pace(Seconds(0), Seconds(0.002))
+    FRESH = PollTiming(Seconds(0), Seconds(0.002))
--- a/src/sedgeshunt/groups/promoter.py
+++ b/src/sedgeshunt/groups/promoter.py
@@ -9,17 +9,21 @@
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
 from sedgeshunt.exceptions import SedgeshuntError
 from sedgeshunt.groups.backoff import Backoff
-from sedgeshunt.groups.causes import Cause, PrimaryJudge, Suspicion
 from sedgeshunt.groups.elections import (
     choose_candidate,
     fence_members,
     is_fenced_for,
-    lead_others,
     promote_target,
+    repoint_replicas,
 )
-from sedgeshunt.groups.link import TargetLink
-from sedgeshunt.groups.objections import Objections
+from sedgeshunt.groups.failure_detector import (
+    FailureDetector,
+    Suspicion,
+    SuspicionCause,
+)
+from sedgeshunt.groups.promotion_deferral import PromotionDeferral
 from sedgeshunt.groups.status import TargetStatus
+from sedgeshunt.groups.target_monitor import TargetMonitor
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId, Term
 
@@ -38,16 +42,16 @@
     def __init__(
         self,
         view: GroupView,
-        links: Mapping[TargetId, TargetLink],
-        objections: Objections,
+        links: Mapping[TargetId, TargetMonitor],
+        deferral: PromotionDeferral,
         decisions: DecisionLog,
     ) -> None:
-        """Act on `links` by what `view` and `objections` say."""
+        """Act on `links` by what `view` and `deferral` say."""
         self.rank = 0
-        self.judge = PrimaryJudge(view)
+        self.judge = FailureDetector(view)
         self._view = view
         self._links = links
-        self._objections = objections
+        self._deferral = deferral
         self._decisions = decisions
         self._backoff = Backoff(FIRST_RETRY)
         self._suspicion: Suspicion | None = None
@@ -60,7 +64,7 @@
             suspicion = self._find_due()
             if suspicion is None:
                 continue
-            if await self._objections.stand_against(suspicion):
+            if await self._deferral.should_defer(suspicion):
                 await sleep(ASK_AGAIN_AFTER)
                 continue
             # The peers took their time to answer; a rival may have won.
@@ -70,25 +74,25 @@
             if await self._replace(suspicion):
                 self._backoff.reset()
             else:
-                await sleep(self._backoff.draw())
+                await sleep(self._backoff.compute_delay())
 
     def _find_due(self) -> Suspicion | None:
         suspicion = self.judge.judge()
         if suspicion is None:
             self._suspicion = None
-            self._objections.withdraw()
+            self._deferral.reset()
             return None
         known = self._suspicion
         if known is None or known.term != suspicion.term:
             self._suspected_at = read_clock()
-            self._objections.withdraw()
+            self._deferral.reset()
         self._suspicion = suspicion
         waited = read_clock() - self._suspected_at
         return suspicion if waited >= self.rank * RANK_DELAY else None
 
     async def _replace(self, suspicion: Suspicion) -> bool:
         term = Term(self._view.newest_term + 1)
-        fenced = await self._stop_gently(suspicion, term)
+        fenced = await self._fence_leaving_primary(suspicion, term)
         fenced.extend(await self._fence_rest(fenced, term))
         choice = choose_candidate(
             fenced,
@@ -128,10 +132,10 @@
             return False
         leads = f'{chosen.target} leads'
         self._decide(DecisionKind.PROMOTED, suspicion, term, leads)
-        await lead_others(tuple(self._links.values()), term, chosen.target)
+        await repoint_replicas(tuple(self._links.values()), term, chosen.target)
         return chosen.target not in self.judge.leaving
 
-    async def _stop_gently(
+    async def _fence_leaving_primary(
         self,
         suspicion: Suspicion,
         term: Term,
@@ -139,7 +143,10 @@
         # Fenced first and alone, the leaving primary takes no more writes
         # while the others still copy its last records. Fenced together, the
         # writes that one of them had not copied yet would end as unknown.
-        if suspicion.cause is not Cause.LEAVING or suspicion.leader is None:
+        if (
+            suspicion.cause is not SuspicionCause.LEAVING
+            or suspicion.leader is None
+        ):
             return []
         try:
             status = await self._links[suspicion.leader].fence(term)
@@ -161,11 +168,11 @@
         )
 
     def _list_avoided(self, suspicion: Suspicion) -> Set[TargetId]:
-        if suspicion.cause is Cause.STALLED and suspicion.leader:
+        if suspicion.cause is SuspicionCause.STALLED and suspicion.leader:
             return {suspicion.leader}
         # A planned move that was not caught up with promotes the leaving
         # primary again, and the next try comes after a while.
-        is_gentle = suspicion.cause is Cause.LEAVING
+        is_gentle = suspicion.cause is SuspicionCause.LEAVING
         return frozenset() if is_gentle else self.judge.leaving
 
     def _decide(
--- a/src/sedgeshunt/groups/objections.py
+++ b/src/sedgeshunt/groups/promotion_deferral.py
@@ -2,9 +2,9 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
-from sedgeshunt.groups.causes import DOUBTFUL, Suspicion
+from sedgeshunt.groups.failure_detector import REFUTABLE_CAUSES, Suspicion
 from sedgeshunt.groups.liveness import SUSPICION_TIME
-from sedgeshunt.groups.panel import PeerPanel
+from sedgeshunt.groups.peer_query import PeerQuery
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import Monotonic, Seconds
 from sedgeshunt.ports import PrimaryReport
@@ -13,13 +13,13 @@
 PATIENCE = Seconds(5)
 
 
-class Objections:
+class PromotionDeferral:
     """Weigh what peers say against one proxy's suspicion."""
 
     def __init__(
         self,
         view: GroupView,
-        panel: PeerPanel,
+        panel: PeerQuery,
         decisions: DecisionLog,
     ) -> None:
         """Ask `panel` about the group of `view`."""
@@ -28,19 +28,19 @@
         self._decisions = decisions
         self._since: Monotonic | None = None
 
-    def withdraw(self) -> None:
+    def reset(self) -> None:
         """Forget the disagreement, as the suspicion is another or none."""
         self._since = None
 
-    async def stand_against(self, suspicion: Suspicion) -> bool:
+    async def should_defer(self, suspicion: Suspicion) -> bool:
         """Tell whether a reachable peer has cause to keep the primary."""
         # One proxy's broken link would cost everyone a failover; but callers
         # who reach the group only through this side wait on, so that no
         # disagreement may last for ever.
-        if suspicion.cause not in DOUBTFUL:
+        if suspicion.cause not in REFUTABLE_CAUSES:
             return False
         asked_at = read_clock()
-        reports = await self._panel.ask_primary(self._view.group)
+        reports = await self._panel.query_primary(self._view.group)
         objecting = [
             report
             for report in reports
--- a/src/sedgeshunt/groups/quorum.py
+++ b/src/sedgeshunt/groups/quorum.py
@@ -64,7 +64,7 @@
     return ends[-majority]
 
 
-def date_evidence(
+def find_confirmation_time(
     observations: Sequence[Observation],
     majority: int,
     point: Point,
--- a/src/sedgeshunt/groups/evidence.py
+++ b/src/sedgeshunt/groups/quorum_tracker.py
@@ -6,29 +6,29 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.quorum import (
     Watermark,
-    date_evidence,
+    find_confirmation_time,
     find_durable,
     find_watermarks,
 )
-from sedgeshunt.groups.terms import TermRegister
-from sedgeshunt.groups.waiters import ChangeSignal, LevelWaiters
+from sedgeshunt.groups.terms import TermHistory
+from sedgeshunt.groups.waiters import ChangeSignal, ThresholdWaiters
 from sedgeshunt.groups.watermarks import WatermarkSeries
 from sedgeshunt.identifiers import Monotonic, Seconds
 
 # An acknowledgement goes out at most this long after its evidence was asked
 # for; later it is asked for again.
-EVIDENCE_BOUND = Seconds(0.5)
+MAX_EVIDENCE_AGE = Seconds(0.5)
 # Polls stay frequent this long after somebody needed fresh answers.
 FRESH_FOR = Seconds(1)
 
 
-class Evidence:
+class QuorumTracker:
     """Tell waiting tasks what the latest answers prove together."""
 
     def __init__(
         self,
         members: MemberStates,
-        terms: TermRegister,
+        terms: TermHistory,
         pauses: PauseWatch,
     ) -> None:
         """Draw on the answers in `members` and the terms in `terms`."""
@@ -38,8 +38,8 @@
         self._terms = terms
         self._pauses = pauses
         self._series = WatermarkSeries()
-        self._durable: LevelWaiters[Point] = LevelWaiters()
-        self._barriers: LevelWaiters[Monotonic] = LevelWaiters()
+        self._durable: ThresholdWaiters[Point] = ThresholdWaiters()
+        self._barriers: ThresholdWaiters[Monotonic] = ThresholdWaiters()
 
     @property
     def writes_waiting(self) -> int:
@@ -80,7 +80,7 @@
         """Return the latest watermark that a log ending at `end` covers."""
         return self._series.find_covered(end)
 
-    def request_fresh(self) -> None:
+    def request_frequent_polls(self) -> None:
         """Have the members asked often for a while."""
         self.fresh_until = Monotonic(read_clock() + FRESH_FOR)
 
@@ -96,7 +96,7 @@
                 return mark.point
             if has_passed(deadline):
                 return None
-            self.request_fresh()
+            self.request_frequent_polls()
             await self._barriers.wait(since, deadline)
 
     async def wait_durable(self, point: Point, deadline: Monotonic) -> bool:
@@ -119,7 +119,7 @@
         # of a primary that was superseded meanwhile. Only answers that were
         # asked for after the pause can tell that the term is still newest.
         self._pauses.check()
-        oldest = read_clock() - EVIDENCE_BOUND
+        oldest = read_clock() - MAX_EVIDENCE_AGE
         return dated >= max(oldest, self._pauses.resumed_at)
 
     async def _wait_for_evidence(
@@ -130,11 +130,11 @@
         if self._date(point) is None:
             await self._durable.wait(point, deadline)
             return
-        self.request_fresh()
+        self.request_frequent_polls()
         await self.changed.wait(deadline)
 
     def _date(self, point: Point) -> Monotonic | None:
-        return date_evidence(
+        return find_confirmation_time(
             self._members.list_observations(),
             self._members.majority,
             point,
--- a/src/sedgeshunt/groups/ranks.py
+++ b/src/sedgeshunt/groups/ranks.py
@@ -16,11 +16,11 @@
     """Return how many of `proxies` come before `proxy` for `group`."""
     # Rendezvous hashing: each proxy computes the same order by itself, the
     # orders of two groups differ, and one that goes moves no other.
-    own = weigh(group, proxy)
-    return sum(weigh(group, other) > own for other in set(proxies))
+    own = compute_weight(group, proxy)
+    return sum(compute_weight(group, other) > own for other in set(proxies))
 
 
-def weigh(place: object, candidate: str) -> bytes:
+def compute_weight(place: object, candidate: str) -> bytes:
     """Return a weight that differs between places and is alike everywhere."""
     name = f'{place}\n{candidate}'.encode()
     return blake2b(name, digest_size=DIGEST_SIZE).digest()
--- a/src/sedgeshunt/groups/repair.py
+++ b/src/sedgeshunt/groups/repair.py
@@ -22,7 +22,7 @@
     primary: TargetId
 
 
-class Repair:
+class ReplicaRepair:
     """Decide when a target has to be told to follow the primary."""
 
     def __init__(self, view: GroupView) -> None:
--- a/src/sedgeshunt/groups/reports.py
+++ b/src/sedgeshunt/groups/reports.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from sedgeshunt.groups.liveness import Liveness
+from sedgeshunt.groups.liveness import TargetLiveness
 from sedgeshunt.groups.status import TargetStatus
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId
 
@@ -24,7 +24,7 @@
 def describe_target(
     target: TargetId,
     status: TargetStatus | None,
-    liveness: Liveness,
+    liveness: TargetLiveness,
     age: Seconds | None,
     now: Monotonic,
 ) -> TargetReport:
--- a/src/sedgeshunt/groups/stall.py
+++ b/src/sedgeshunt/groups/stall_detector.py
@@ -11,7 +11,7 @@
 GROWTH = 2
 
 
-class StallWatch:
+class StallDetector:
     """Measure for how long nothing has become durable."""
 
     # A primary cut off from its group, but not from the proxies, answers
@@ -28,7 +28,7 @@
     def find_stall(self) -> Monotonic | None:
         """Return since when the group stalls, None if it doesn't."""
         now = read_clock()
-        durable = self._view.evidence.find_durable()
+        durable = self._view.quorum.find_durable()
         seen = (self._view.newest_term, durable)
         is_paused = self._since < self._view.pauses.resumed_at
         if seen != self._seen or is_paused or self._is_durable(durable):
@@ -45,7 +45,7 @@
             self._limit = min(LONGEST_STALL_TIME, longer)
 
     def _is_durable(self, durable: Point | None) -> bool:
-        leader = self._view.find_leader()
+        leader = self._view.find_newest_primary()
         if leader is None:
             return True
         status = self._view.get_status(leader)
--- a/src/sedgeshunt/groups/status.py
+++ b/src/sedgeshunt/groups/status.py
@@ -27,7 +27,7 @@
     role: Role
     following: TargetId | None = None
 
-    def keeps(self, point: Point) -> bool:
+    def retains(self, point: Point) -> bool:
         """Tell whether the log includes `point` and will not drop it."""
         # A replica whose source leads again may copy records of a term above
         # its own. A late order to follow the primary of a term in between is
--- a/src/sedgeshunt/groups/successors.py
+++ b/src/sedgeshunt/groups/successors.py
@@ -4,11 +4,11 @@
 
 from sedgeshunt.connections.target_session import LogRole, LogStatus
 from sedgeshunt.groups.points import Point
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import GroupId, TargetId, Term
 
 
-def find_leader(
+def find_primary(
     statuses: Mapping[TargetId, LogStatus],
     least: Term,
     seen: Point | None = None,
@@ -27,14 +27,14 @@
             continue
         # One of a newer term may lack what an earlier one showed last.
         is_of_term = seen is not None and status.term <= seen.term
-        if is_of_term and is_behind(status.received, seen):
+        if is_of_term and is_truncated(status.received, seen):
             continue
         if status.term >= max(newest, least):
             return target
     return None
 
 
-def is_behind(point: Point | None, seen: Point | None) -> bool:
+def is_truncated(point: Point | None, seen: Point | None) -> bool:
     """Tell whether a primary's log ends before what it has shown.
 
     Safeguard: a target that has started again without its log may still say
@@ -57,7 +57,7 @@
         statuses,
         key=lambda target: (
             statuses[target].received,
-            weigh(group, target),
+            compute_weight(group, target),
         ),
     )
 
--- a/src/sedgeshunt/groups/keeper.py
+++ b/src/sedgeshunt/groups/supervisor.py
@@ -7,19 +7,19 @@
 
 from sedgeshunt.configuration.objects import Target
 from sedgeshunt.decisions import DecisionLog
-from sedgeshunt.groups.context import LinkContext
-from sedgeshunt.groups.link import TargetLink
-from sedgeshunt.groups.objections import Objections
-from sedgeshunt.groups.panel import PeerPanel
+from sedgeshunt.groups.monitor_context import MonitorContext
+from sedgeshunt.groups.peer_query import PeerQuery
 from sedgeshunt.groups.promoter import Promoter
+from sedgeshunt.groups.promotion_deferral import PromotionDeferral
 from sedgeshunt.groups.ranks import rank_proxy
-from sedgeshunt.groups.repair import Repair
+from sedgeshunt.groups.repair import ReplicaRepair
+from sedgeshunt.groups.target_monitor import TargetMonitor
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import GroupId, ProxyId, TargetId
 from sedgeshunt.ports import Address, TargetConnector
 
 
-class GroupKeeper:
+class GroupSupervisor:
     """Own one task for each target of a group, and the promoter."""
 
     def __init__(
@@ -27,7 +27,7 @@
         group: GroupId,
         view: GroupView,
         connector: TargetConnector,
-        peers: PeerPanel,
+        peers: PeerQuery,
         proxy: ProxyId,
         decisions: DecisionLog,
     ) -> None:
@@ -35,20 +35,20 @@
         self._group = group
         self._view = view
         self._proxy = proxy
-        self._repair = Repair(view)
-        self._context = LinkContext(connector, view, self._repair, decisions)
-        self._links: dict[TargetId, TargetLink] = {}
+        self._repair = ReplicaRepair(view)
+        self._context = MonitorContext(connector, view, self._repair, decisions)
+        self._links: dict[TargetId, TargetMonitor] = {}
         self._promoter = Promoter(
             view,
             self._links,
-            Objections(view, peers, decisions),
+            PromotionDeferral(view, peers, decisions),
             decisions,
         )
         self._tasks: dict[TargetId, Task[None]] = {}
         self._owned = AsyncExitStack()
         self._running: TaskGroup | None = None
 
-    async def __aenter__(self) -> 'GroupKeeper':
+    async def __aenter__(self) -> 'GroupSupervisor':
         """Start watching; an unexpected error ends the owner's task."""
         running = await self._owned.enter_async_context(TaskGroup())
         self._running = running
@@ -88,7 +88,7 @@
         for name, address in addresses.items():
             self._links.setdefault(
                 name,
-                TargetLink(name, address, self._context),
+                TargetMonitor(name, address, self._context),
             )
         self._start_links()
 
@@ -108,7 +108,7 @@
 
     def _stop_link(self, name: TargetId) -> None:
         del self._links[name]
-        self._view.lose(name)
+        self._view.record_disconnect(name)
         task = self._tasks.pop(name, None)
         if task is not None:
             task.cancel()
--- a/src/sedgeshunt/groups/link.py
+++ b/src/sedgeshunt/groups/target_monitor.py
@@ -11,10 +11,10 @@
     SedgeshuntError,
     TargetUnreachable,
 )
+from sedgeshunt.groups.adaptive_timeout import AdaptiveTimeout
 from sedgeshunt.groups.backoff import Backoff
-from sedgeshunt.groups.calls import CallTimer
 from sedgeshunt.groups.commands import CommandQueue, ControlCall
-from sedgeshunt.groups.context import LinkContext
+from sedgeshunt.groups.monitor_context import MonitorContext
 from sedgeshunt.groups.repair import FollowOrder
 from sedgeshunt.groups.status import Observation, TargetStatus
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId, Term
@@ -28,14 +28,14 @@
 NO_WAIT = Seconds(0)
 
 
-class TargetLink:
+class TargetMonitor:
     """Own one control connection and all that is asked over it."""
 
     def __init__(
         self,
         target: TargetId,
         address: Address,
-        context: LinkContext,
+        context: MonitorContext,
     ) -> None:
         """Watch `target` at `address` once run."""
         self.target = target
@@ -45,7 +45,7 @@
         self._commands = CommandQueue(target)
         self._backoff = Backoff()
         self._known: TargetStatus | None = None
-        self._timer = CallTimer()
+        self._timer = AdaptiveTimeout()
         self._linked_at = Monotonic(0)
 
     async def fence(self, term: Term) -> TargetStatus:
@@ -72,7 +72,7 @@
             try:
                 await self._watch()
             except (SedgeshuntError, OSError):
-                self._view.lose(self.target)
+                self._view.record_disconnect(self.target)
             await self._rest()
 
     async def _watch(self) -> None:
@@ -83,7 +83,7 @@
             owned.callback(self._commands.close)
             while True:
                 asked_at = read_clock()
-                pace = self._view.choose_demand().value
+                pace = self._view.choose_poll_urgency().value
                 await self._run_commands(connection)
                 await self._poll(connection, pace.wait)
                 await self._run_commands(connection)
@@ -97,7 +97,7 @@
         # The first attempt after a long link comes at once: a target that
         # was killed refuses it, and the failover need not wait.
         if not is_first:
-            await sleep(self._backoff.draw())
+            await sleep(self._backoff.compute_delay())
 
     async def _connect(self, owned: AsyncExitStack) -> ControlConnection:
         started = read_clock()
@@ -110,7 +110,7 @@
                 )
         except TargetUnreachable:
             is_prompt = read_clock() - started < REFUSED_WITHIN
-            self._view.lose(self.target, refused=is_prompt)
+            self._view.record_disconnect(self.target, refused=is_prompt)
             raise
         owned.push_async_callback(connection.close)
         return connection
@@ -162,7 +162,7 @@
         try:
             status = await self._call(call(connection))
         except FenceRefused as refusal:
-            self._view.learn_term(Term(refusal.current_term))
+            self._view.record_term(Term(refusal.current_term))
             raise
         self._record(status, asked_at)
         return status
--- a/src/sedgeshunt/groups/terms.py
+++ b/src/sedgeshunt/groups/terms.py
@@ -8,7 +8,7 @@
 REMEMBERED_TERMS = 64
 
 
-class TermRegister:
+class TermHistory:
     """Hold what is known of a group's terms."""
 
     def __init__(self) -> None:
@@ -18,7 +18,7 @@
         self._primaries: dict[Term, TargetId] = {}
         self._disputed: set[Term] = set()
 
-    def learn(self, term: Term, now: Monotonic) -> bool:
+    def record(self, term: Term, now: Monotonic) -> bool:
         """Take in a term; tell whether it is the newest so far."""
         if self.newest_seen_at is not None and term <= self.newest:
             return False
@@ -26,7 +26,7 @@
         self.newest = max(term, self.newest)
         return True
 
-    def note_primary(self, status: TargetStatus) -> Violation | None:
+    def record_primary(self, status: TargetStatus) -> Violation | None:
         """Take in a status; return a violation at a second primary."""
         if status.role is not Role.PRIMARY:
             return None
--- a/src/sedgeshunt/groups/view.py
+++ b/src/sedgeshunt/groups/view.py
@@ -3,14 +3,14 @@
 from collections.abc import Sequence
 
 from sedgeshunt.clocks import PauseWatch, read_clock
-from sedgeshunt.groups.evidence import Evidence
 from sedgeshunt.groups.invariants import Violation
 from sedgeshunt.groups.members import MemberStates
-from sedgeshunt.groups.pace import Demand
 from sedgeshunt.groups.points import Point
+from sedgeshunt.groups.polling import PollUrgency
+from sedgeshunt.groups.quorum_tracker import QuorumTracker
 from sedgeshunt.groups.reports import TargetReport, describe_target
 from sedgeshunt.groups.status import Observation, Role, TargetStatus
-from sedgeshunt.groups.terms import TermRegister
+from sedgeshunt.groups.terms import TermHistory
 from sedgeshunt.identifiers import (
     GroupId,
     Monotonic,
@@ -32,8 +32,8 @@
         self.group = group
         self.pauses = pauses
         self.states = MemberStates(pauses)
-        self.terms = TermRegister()
-        self.evidence = Evidence(self.states, self.terms, pauses)
+        self.terms = TermHistory()
+        self.quorum = QuorumTracker(self.states, self.terms, pauses)
         self._violations: list[Violation] = []
 
     @property
@@ -52,16 +52,16 @@
             return
         violation = self.states.record(observation)
         if violation is None:
-            violation = self.terms.note_primary(status)
+            violation = self.terms.record_primary(status)
         if violation is not None:
             self._violations.append(violation)
-        has_new_term = self.terms.learn(
+        has_new_term = self.terms.record(
             status.fencing_term,
             observation.answered_at,
         )
-        self.evidence.update(has_new_term)
+        self.quorum.update(has_new_term)
 
-    def note_written(
+    def record_write(
         self,
         target: TargetId,
         point: Point,
@@ -73,21 +73,23 @@
         status = TargetStatus(target, point.term, point, Role.PRIMARY)
         self.record(Observation(status, asked_at, read_clock()))
 
-    def learn_term(self, term: Term) -> None:
+    def record_term(self, term: Term) -> None:
         """Take in a term that a target named in a refusal."""
-        if self.terms.learn(term, read_clock()):
-            self.evidence.update(has_new_term=True)
+        if self.terms.record(term, read_clock()):
+            self.quorum.update(has_new_term=True)
 
-    def lose(self, target: TargetId, refused: bool = False) -> None:
+    def record_disconnect(
+        self, target: TargetId, refused: bool = False
+    ) -> None:
         """Take in that a control link broke, or was refused."""
-        self.states.lose(target, refused)
-        self.evidence.changed.notify()
+        self.states.record_disconnect(target, refused)
+        self.quorum.changed.notify()
 
     def get_status(self, target: TargetId) -> TargetStatus | None:
         """Return the latest answer of `target`, unless it lost data."""
         return self.states.get_status(target)
 
-    def find_leader(self) -> TargetId | None:
+    def find_newest_primary(self) -> TargetId | None:
         """Return who leads in the newest term, be it reachable or not."""
         leader = self.terms.get_primary()
         if leader is None:
@@ -99,20 +101,20 @@
 
     def get_primary(self) -> TargetId | None:
         """Return who leads in the newest term if it is heard."""
-        leader = self.find_leader()
+        leader = self.find_newest_primary()
         if leader is None:
             return None
         liveness = self.states.find_liveness(leader)
-        return leader if liveness.is_heard(read_clock()) else None
+        return leader if liveness.is_responsive(read_clock()) else None
 
-    def hears_majority(self) -> bool:
+    def reaches_majority(self) -> bool:
         """Tell whether a write could be acknowledged or a term be won."""
-        heard = self.states.list_heard(read_clock())
+        heard = self.states.list_responsive(read_clock())
         return len(heard) >= self.states.majority
 
-    def is_heard(self, target: TargetId, now: Monotonic) -> bool:
+    def is_responsive(self, target: TargetId, now: Monotonic) -> bool:
         """Tell whether `target` is linked and not suspected."""
-        return self.states.find_liveness(target).is_heard(now)
+        return self.states.find_liveness(target).is_responsive(now)
 
     def get_observation(self, target: TargetId) -> Observation | None:
         """Return the latest answer of `target` with its readings."""
@@ -121,7 +123,7 @@
     def covers(self, target: TargetId, point: Point) -> bool:
         """Tell whether the target's latest answer includes `point`."""
         status = self.states.get_status(target)
-        return status is not None and status.keeps(point)
+        return status is not None and status.retains(point)
 
     def measure_age(self, target: TargetId, now: Monotonic) -> Seconds | None:
         """Return how old the target's data is at most, None if unproven."""
@@ -130,8 +132,8 @@
         status = self.states.get_status(target)
         if status is None:
             return None
-        mark = self.evidence.find_covered(status.log_end)
-        if mark is None or not status.keeps(mark.point):
+        mark = self.quorum.find_covered(status.log_end)
+        if mark is None or not status.retains(mark.point):
             return None
         return Seconds(now - mark.moment)
 
@@ -141,38 +143,38 @@
         deadline: Monotonic,
     ) -> Point | None:
         """Return the first watermark from `since` on, None if too late."""
-        return await self.evidence.wait_barrier(since, deadline)
+        return await self.quorum.wait_barrier(since, deadline)
 
     async def wait_change(self, deadline: Monotonic) -> bool:
         """Tell whether anything was learnt by the deadline."""
-        return await self.evidence.changed.wait(deadline)
+        return await self.quorum.changed.wait(deadline)
 
     async def wait_durable(self, point: Point, deadline: Monotonic) -> bool:
         """Tell whether a majority showed `point` while its term was newest."""
-        return await self.evidence.wait_durable(point, deadline)
+        return await self.quorum.wait_durable(point, deadline)
 
-    def request_fresh(self) -> None:
+    def request_frequent_polls(self) -> None:
         """Have the members asked often for a while."""
-        self.evidence.request_fresh()
+        self.quorum.request_frequent_polls()
 
-    def choose_demand(self) -> Demand:
+    def choose_poll_urgency(self) -> PollUrgency:
         """Tell how urgently the next answers are needed."""
         now = read_clock()
         # Without a majority no read can be proven fresh, however often the
         # few that still answer are asked.
-        if self.evidence.reads_waiting and self.hears_majority():
-            return Demand.FRESH
+        if self.quorum.reads_waiting and self.reaches_majority():
+            return PollUrgency.FRESH
         if self._is_uneasy(now):
-            return Demand.PRIMARY
-        if self.evidence.writes_waiting:
-            return Demand.WRITES
-        if now < self.evidence.fresh_until:
-            return Demand.RECENT
-        return Demand.NONE
+            return PollUrgency.PRIMARY
+        if self.quorum.writes_waiting:
+            return PollUrgency.WRITES
+        if now < self.quorum.fresh_until:
+            return PollUrgency.RECENT
+        return PollUrgency.NONE
 
     def report_primary(self) -> PrimaryReport:
         """Tell peers when the primary was last heard."""
-        leader = self.find_leader()
+        leader = self.find_newest_primary()
         if leader is None:
             return PrimaryReport(self.group, self.newest_term, None, None)
         silence = self.states.find_liveness(leader).measure_silence(
@@ -201,7 +203,7 @@
         ]
 
     def _is_uneasy(self, now: Monotonic) -> bool:
-        leader = self.find_leader()
+        leader = self.find_newest_primary()
         if leader is None:
             return True
         silence = self.states.find_liveness(leader).measure_silence(now)
--- a/src/sedgeshunt/groups/waiters.py
+++ b/src/sedgeshunt/groups/waiters.py
@@ -16,7 +16,7 @@
 Level = TypeVar('Level', Point, Monotonic)
 
 
-class LevelWaiters(Generic[Level]):
+class ThresholdWaiters(Generic[Level]):
     """Keep waiting tasks in the order of the level that they wait for."""
 
     # All writes of a proxy wait for the same few answers. Waking each of
--- a/src/sedgeshunt/membership/choice.py
+++ b/src/sedgeshunt/membership/choice.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import ZoneId
 from sedgeshunt.ports import Address
 
@@ -46,6 +46,6 @@
     """Order peers for `key` so that one that goes moves no other."""
     return sorted(
         peers,
-        key=lambda peer: weigh(key, peer.label),
+        key=lambda peer: compute_weight(key, peer.label),
         reverse=True,
     )
--- a/src/sedgeshunt/membership/counters.py
+++ b/src/sedgeshunt/membership/counters.py
@@ -12,7 +12,7 @@
     Spent,
 )
 from sedgeshunt.customers.rights import PartGiven
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import Boottime, ProxyId, Seconds
 from sedgeshunt.membership.drawing import choose_counters, sort_by_zone
 from sedgeshunt.membership.neighbours import Neighbours
@@ -117,4 +117,4 @@
 
 def _spread(own: ProxyId, counters: Sequence[ProxyId]) -> tuple[ProxyId, ...]:
     # Each instance asks another one first, so that the parts are spent alike.
-    return tuple(sorted(counters, key=lambda name: weigh(own, name)))
+    return tuple(sorted(counters, key=lambda name: compute_weight(own, name)))
--- a/src/sedgeshunt/membership/drawing.py
+++ b/src/sedgeshunt/membership/drawing.py
@@ -5,7 +5,7 @@
 from functools import partial
 from math import log
 
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import ProxyId, ZoneId
 from sedgeshunt.registry.entries import InstanceEntry
 
@@ -67,5 +67,5 @@
     Source: weighted rendezvous hashing, Schindelhauer and Schomaker, Weighted
     Distributed Hash Tables, SPAA 2005.
     """
-    drawn = int.from_bytes(weigh(place, entry.name), 'big')
+    drawn = int.from_bytes(compute_weight(place, entry.name), 'big')
     return -entry.capacity / log((drawn + 1) / (LARGEST_WEIGHT + 1))
--- a/src/sedgeshunt/membership/gathering.py
+++ b/src/sedgeshunt/membership/gathering.py
@@ -4,7 +4,7 @@
 from functools import partial
 from itertools import zip_longest
 
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import CustomerId, ProxyId, ZoneId
 
 
@@ -24,7 +24,7 @@
     # place at the target as long as a short statement does. Gathered, a
     # customer finds its own again. The replicas take turns in the order, so
     # that a customer that needs several readers uses all of them.
-    draw = partial(weigh, f'{place} of {customer}')
+    draw = partial(compute_weight, f'{place} of {customer}')
     columns = [
         sorted(readers.get(zone, ()), key=draw)
         for zone in sorted(set(zones), key=draw)
--- a/src/sedgeshunt/membership/peers.py
+++ b/src/sedgeshunt/membership/peers.py
@@ -10,7 +10,7 @@
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.decisions import DecisionLog
 from sedgeshunt.exceptions import PeerUnreachable
-from sedgeshunt.groups.panel import PeerPanel
+from sedgeshunt.groups.peer_query import PeerQuery
 from sedgeshunt.identifiers import GroupId, ProxyId, Revision, Seconds, ZoneId
 from sedgeshunt.membership.choice import KnownPeer, choose_peers, rank_peers
 from sedgeshunt.membership.directory import PeerDirectory
@@ -34,7 +34,7 @@
 TOLERATED_FAILURES = 2
 
 
-class PeerRoster(PeerPanel, PeerSource):
+class PeerRoster(PeerQuery, PeerSource):
     """Keep one task for each peer that is asked regularly."""
 
     def __init__(
@@ -95,7 +95,7 @@
             if view.peer.name is not None and view.state not in gone
         )
 
-    async def ask_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
+    async def query_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
         """Return the answers that came within a short time; never raise."""
         async with TaskGroup() as tasks:
             asked = [
--- a/src/sedgeshunt/membership/zone_feed.py
+++ b/src/sedgeshunt/membership/zone_feed.py
@@ -4,7 +4,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.forwarding.link import PeerLink
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import Monotonic, ProxyId, Revision, Seconds
 from sedgeshunt.membership.circle import Circle
 from sedgeshunt.membership.neighbours import Neighbours
@@ -103,4 +103,4 @@
         return is_trusted and link.reaches_store and link.is_answering()
 
     def _weigh(self, link: PeerLink) -> bytes:
-        return weigh(f'watcher for {self._own.name}', link.peer.name)
+        return compute_weight(f'watcher for {self._own.name}', link.peer.name)
--- a/src/sedgeshunt/ownership/ranking.py
+++ b/src/sedgeshunt/ownership/ranking.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from sedgeshunt.groups.ranks import weigh
+from sedgeshunt.groups.ranks import compute_weight
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
 from sedgeshunt.registry.entries import InstanceEntry
 
@@ -23,7 +23,7 @@
         key=lambda entry: (
             entry.zone == zone,
             entry.capacity,
-            weigh(group, entry.name),
+            compute_weight(group, entry.name),
         ),
         reverse=True,
     )
--- a/src/sedgeshunt/registry/store_view.py
+++ b/src/sedgeshunt/registry/store_view.py
@@ -176,12 +176,12 @@
                 await self._pause_watch()
             except PlatformUnavailable as failure:
                 self._record_reach(is_reached=False, why=str(failure))
-                await sleep(self._backoff.draw())
+                await sleep(self._backoff.compute_delay())
 
     async def _pause_watch(self) -> None:
         """Wait before the next listing if the latest one brought no watch."""
         if read_clock() - self._listed_at < WATCH_LAG:
-            await sleep(self._watch_backoff.draw())
+            await sleep(self._watch_backoff.compute_delay())
         else:
             self._watch_backoff.reset()
 
--- a/src/sedgeshunt/requests/group_service.py
+++ b/src/sedgeshunt/requests/group_service.py
@@ -24,11 +24,11 @@
 from sedgeshunt.requests.outcome import Cause, NotRun
 from sedgeshunt.requests.routes import RouteTable
 from sedgeshunt.requests.target_service import TargetService
-from sedgeshunt.routing.catch_up import CatchUp
+from sedgeshunt.routing.assessor import meets_need
+from sedgeshunt.routing.catch_up import CatchUpEstimator
 from sedgeshunt.routing.choice import Ranking, ReadNeed, ReadRouter
 from sedgeshunt.routing.health import GroupHealth, TargetHealth
-from sedgeshunt.routing.judging import meets_need
-from sedgeshunt.routing.recent import RecentChoices
+from sedgeshunt.routing.recent_choices import RecentChoices
 from sedgeshunt.routing.views import Load
 
 CHECK_EVERY = Seconds(0.05)
@@ -55,7 +55,7 @@
         self.group = group
         self.view = view
         self.budget = RetryBudget()
-        self.catch_up = CatchUp()
+        self.catch_up = CatchUpEstimator()
         self.targets: list[Target] = []
         self.services: dict[TargetId, TargetService] = {}
         self._loads: dict[TargetId, Load] = {}
@@ -122,7 +122,7 @@
             if seen is not None and seen.asked_at >= since:
                 is_leading = self.find_leading_term(target) == term
                 return seen.status.log_end if is_leading else None
-            self.view.request_fresh()
+            self.view.request_frequent_polls()
             await self.view.wait_change(deadline)
         return None
 
@@ -156,7 +156,7 @@
             now,
             may_probe=may_probe,
         )
-        self._recent.note(route.traffic_class, ranking, now)
+        self._recent.record(route.traffic_class, ranking, now)
         return ranking
 
     def pick_recent(
@@ -170,7 +170,7 @@
         service = None if name is None else self.services.get(name)
         if service is None or not service.is_free():
             return None
-        if not self.view.is_heard(service.target.name, now):
+        if not self.view.is_responsive(service.target.name, now):
             return None
         return name if self.meets_need(service, need, now) else None
 
@@ -190,7 +190,7 @@
         deadline: Monotonic,
     ) -> Seconds | None:
         """Return how long to wait for a replica, None to go on now."""
-        replica = ranking.may_catch_up
+        replica = ranking.catch_up_candidate
         if replica is None:
             return None
         now = read_clock()
@@ -198,7 +198,7 @@
         if ranking.eligible:
             primary = self.services[ranking.eligible[0]]
             primary_wait = primary.admission.expected_wait(now)
-        return self.catch_up.should_wait(
+        return self.catch_up.choose_wait(
             replica,
             need.point,
             now,
@@ -206,9 +206,9 @@
             primary_wait,
         )
 
-    def is_heard(self, target: TargetId) -> bool:
+    def is_responsive(self, target: TargetId) -> bool:
         """Tell whether the target answers at this moment."""
-        return self.view.is_heard(target, read_clock())
+        return self.view.is_responsive(target, read_clock())
 
     async def watch_targets(self, refresh: Callable[[], None]) -> None:
         """End waits on targets that are gone, until cancelled."""
@@ -216,18 +216,18 @@
         while True:
             refresh()
             for name, service in tuple(self.services.items()):
-                is_heard = self.is_heard(name)
-                if is_heard:
+                is_responsive = self.is_responsive(name)
+                if is_responsive:
                     service.note_heard()
                 elif was_heard.get(name):
                     service.note_gone()
                     await service.pool.drop_idle()
-                was_heard[name] = is_heard
+                was_heard[name] = is_responsive
             await sleep(CHECK_EVERY)
 
     async def follow_replicas(self) -> None:
         """Learn how far replicas lag, until cancelled."""
-        await self.catch_up.watch(self.view, lambda: self.services)
+        await self.catch_up.track(self.view, lambda: self.services)
 
     async def resize(self, *, is_seated: bool) -> None:
         """Follow the seat: a full share with one, the least without."""
@@ -244,7 +244,7 @@
 
     def _get_primary(self) -> TargetService | None:
         primary = self.view.get_primary()
-        if primary is None or not self.view.hears_majority():
+        if primary is None or not self.view.reaches_majority():
             return None
         return self.services.get(primary)
 
@@ -255,7 +255,7 @@
         while read_clock() < deadline:
             # Without a majority in reach no write can be acknowledged, here
             # or by a promotion: waiting would only delay the refusal.
-            if not self.view.hears_majority():
+            if not self.view.reaches_majority():
                 return Err(
                     self._refuse_write('no majority of its targets answers'),
                 )
--- a/src/sedgeshunt/requests/reads.py
+++ b/src/sedgeshunt/requests/reads.py
@@ -122,7 +122,7 @@
         session: SessionState,
     ) -> Result[None, NotRun]:
         view = self.service.view
-        if not view.hears_majority():
+        if not view.reaches_majority():
             return Err(self._refuse_stale('no majority of targets answers'))
         point = await view.wait_barrier(
             session.barrier_since(self.service.name),
@@ -178,13 +178,13 @@
             await self._wait_change(min(request.deadline, waits_until))
 
     async def _wait_change(self, until: Monotonic) -> None:
-        self.service.view.request_fresh()
+        self.service.view.request_frequent_polls()
         await self.service.view.wait_change(until)
 
     def _is_hopeful(self, request: Request, now: Monotonic) -> bool:
         # With no majority in reach no age and no barrier can be proved from
         # now on, so waiting would only delay the refusal.
-        return now < request.deadline and self.service.view.hears_majority()
+        return now < request.deadline and self.service.view.reaches_majority()
 
     async def _may_go_on(
         self,
--- a/src/sedgeshunt/requests/target_service.py
+++ b/src/sedgeshunt/requests/target_service.py
@@ -79,7 +79,7 @@
         """Tell whether a statement would be sent without any wait."""
         if self._is_gone or self.target.is_leaving():
             return False
-        return self.admission.has_room() and not self.health.is_suspected()
+        return self.admission.has_room() and not self.health.is_excluded()
 
     async def run(
         self,
@@ -108,7 +108,9 @@
                 # quick, and draw more statements to it.
                 permit.cancel()
             else:
-                self.health.note(measured.read_spent(), ok=measured.ok)
+                self.health.record_outcome(
+                    measured.read_spent(), ok=measured.ok
+                )
         return self._name_target(outcome)
 
     async def resize(self, share: int) -> None:
--- a/src/sedgeshunt/routing/verdicts.py
+++ b/src/sedgeshunt/routing/assessments.py
@@ -11,7 +11,7 @@
 MILLISECONDS = 1000
 
 
-class Rule(Enum):
+class ExclusionRule(Enum):
     """Name the rules that keep a read from a target."""
 
     LEAVING = 'leaving'
@@ -26,7 +26,7 @@
     LEFT_TO_REPLICAS = 'left-to-replicas'
 
 
-class Facts(Struct, frozen=True):
+class TargetFacts(Struct, frozen=True):
     """Hold what was known of a target when it was judged."""
 
     # A Struct is made in a fraction of a dataclass's time, and one is made
@@ -41,25 +41,25 @@
     selector: str = ''
 
 
-class Verdict(Struct, frozen=True):
+class Assessment(Struct, frozen=True):
     """Hold the rule that a target fell under; None means it may serve."""
 
     target: TargetId
-    rule: Rule | None
-    facts: Facts
+    rule: ExclusionRule | None
+    facts: TargetFacts
     # An ejected target that gets one read, to see whether it is well again.
     is_probe: bool = False
 
     @property
     def detail(self) -> str:
-        """Explain the verdict to an operator."""
+        """Explain the assessment to an operator."""
         # Worded only when asked for: a read is routed far more often.
         if self.rule is None:
             return _explain_eligible(self.facts, is_probe=self.is_probe)
         return _TEXTS[self.rule](self.facts)
 
 
-def _explain_eligible(facts: Facts, *, is_probe: bool) -> str:
+def _explain_eligible(facts: TargetFacts, *, is_probe: bool) -> str:
     place = 'own' if facts.is_near else 'another'
     parts = [f'may serve from {place} availability zone']
     parts.append(_show_age(facts.age))
@@ -69,13 +69,13 @@
     return ', '.join(parts)
 
 
-def _explain_not_covered(facts: Facts) -> str:
+def _explain_not_covered(facts: TargetFacts) -> str:
     end = _show_point(facts.log_end)
     need = _show_point(facts.need)
     return f'its log ends at {end}, the session has to see {need}'
 
 
-def _explain_stale(facts: Facts) -> str:
+def _explain_stale(facts: TargetFacts) -> str:
     accepted = _show(facts.accepted_age or Seconds(0))
     return f'{_show_age(facts.age)}, the read accepts {accepted}'
 
@@ -92,18 +92,24 @@
     return '?' if point is None else f'{point.term}:{point.position}'
 
 
-_TEXTS: dict[Rule, Callable[[Facts], str]] = {
-    Rule.LEAVING: lambda _: 'its label says that it is leaving',
-    Rule.NOT_SELECTED: lambda facts: (
+_TEXTS: dict[ExclusionRule, Callable[[TargetFacts], str]] = {
+    ExclusionRule.LEAVING: lambda _: 'its label says that it is leaving',
+    ExclusionRule.NOT_SELECTED: lambda facts: (
         f'the route selects "{facts.selector}", its labels differ'
     ),
-    Rule.NO_STATUS: lambda _: 'it has not told its place in the log yet',
-    Rule.SILENT: lambda _: 'it does not answer',
-    Rule.PRIMARY_NOT_ALLOWED: lambda _: (
+    ExclusionRule.NO_STATUS: lambda _: (
+        'it has not told its place in the log yet'
+    ),
+    ExclusionRule.SILENT: lambda _: 'it does not answer',
+    ExclusionRule.PRIMARY_NOT_ALLOWED: lambda _: (
         'it is the primary, the route keeps reads from it'
     ),
-    Rule.NOT_COVERED: _explain_not_covered,
-    Rule.TOO_STALE: _explain_stale,
-    Rule.EJECTED: lambda _: 'it failed or was slow, and is left out a while',
-    Rule.LEFT_TO_REPLICAS: lambda _: 'it is the primary, a replica can serve',
+    ExclusionRule.NOT_COVERED: _explain_not_covered,
+    ExclusionRule.TOO_STALE: _explain_stale,
+    ExclusionRule.EJECTED: lambda _: (
+        'it failed or was slow, and is left out a while'
+    ),
+    ExclusionRule.LEFT_TO_REPLICAS: lambda _: (
+        'it is the primary, a replica can serve'
+    ),
 }
--- a/src/sedgeshunt/routing/judging.py
+++ b/src/sedgeshunt/routing/assessor.py
@@ -1,4 +1,4 @@
-"""Judge the targets of a group for one read."""
+"""TargetAssessor the targets of a group for one read."""
 
 from msgspec import Struct
 from result import Ok
@@ -8,8 +8,12 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.status import Role, TargetStatus
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId, ZoneId
+from sedgeshunt.routing.assessments import (
+    Assessment,
+    ExclusionRule,
+    TargetFacts,
+)
 from sedgeshunt.routing.health import GroupHealth
-from sedgeshunt.routing.verdicts import Facts, Rule, Verdict
 from sedgeshunt.routing.views import FreshnessView
 
 
@@ -39,7 +43,7 @@
     return age is not None and age <= need.accepted_age
 
 
-class Judge(Struct, frozen=True):
+class TargetAssessor(Struct, frozen=True):
     """Hold one read's demands and what is known while it is routed."""
 
     zone: ZoneId
@@ -50,29 +54,29 @@
     now: Monotonic
     may_probe: bool
 
-    def judge(self, target: Target, wait: Seconds) -> Verdict:
+    def assess(self, target: Target, wait: Seconds) -> Assessment:
         """Return the first rule that keeps the read from `target`."""
         if target.is_leaving():
-            return self._bar(target, Rule.LEAVING)
+            return self._exclude(target, ExclusionRule.LEAVING)
         if not self._selects(target):
-            return self._bar(target, Rule.NOT_SELECTED)
+            return self._exclude(target, ExclusionRule.NOT_SELECTED)
         status = self.view.get_status(target.name)
         if status is None:
-            return self._bar(target, Rule.NO_STATUS)
-        return self._judge_status(target, status, wait)
+            return self._exclude(target, ExclusionRule.NO_STATUS)
+        return self._assess_status(target, status, wait)
 
-    def _bar(self, target: Target, rule: Rule) -> Verdict:
+    def _exclude(self, target: Target, rule: ExclusionRule) -> Assessment:
         is_near = target.zone == self.zone
-        facts = Facts(is_near, selector=self.route.targets)
-        return Verdict(target.name, rule, facts)
+        facts = TargetFacts(is_near, selector=self.route.targets)
+        return Assessment(target.name, rule, facts)
 
-    def _judge_status(
+    def _assess_status(
         self,
         target: Target,
         status: TargetStatus,
         wait: Seconds,
-    ) -> Verdict:
-        facts = Facts(
+    ) -> Assessment:
+        facts = TargetFacts(
             is_near=target.zone == self.zone,
             is_primary=self._is_primary(status),
             need=self.need.point,
@@ -82,9 +86,9 @@
             wait=wait,
         )
         rule = self._find_rule(target.name, facts)
-        if rule is Rule.EJECTED and self._claim_probe(target.name):
-            return Verdict(target.name, None, facts, is_probe=True)
-        return Verdict(target.name, rule, facts)
+        if rule is ExclusionRule.EJECTED and self._claim_probe(target.name):
+            return Assessment(target.name, None, facts, is_probe=True)
+        return Assessment(target.name, rule, facts)
 
     def _selects(self, target: Target) -> bool:
         if not self.route.targets:
@@ -94,27 +98,31 @@
             return False
         return selector.ok_value.matches(list_labels(target))
 
-    def _find_rule(self, target: TargetId, facts: Facts) -> Rule | None:
-        if not self.view.is_heard(target, self.now):
-            return Rule.SILENT
+    def _find_rule(
+        self, target: TargetId, facts: TargetFacts
+    ) -> ExclusionRule | None:
+        if not self.view.is_responsive(target, self.now):
+            return ExclusionRule.SILENT
         if facts.is_primary and not self.route.primary_reads:
-            return Rule.PRIMARY_NOT_ALLOWED
+            return ExclusionRule.PRIMARY_NOT_ALLOWED
         rule = self._find_unmet(target, facts)
-        if rule is None and self.health.is_ejected(target):
-            return Rule.EJECTED
+        if rule is None and self.health.is_excluded(target):
+            return ExclusionRule.EJECTED
         return rule
 
-    def _find_unmet(self, target: TargetId, facts: Facts) -> Rule | None:
+    def _find_unmet(
+        self, target: TargetId, facts: TargetFacts
+    ) -> ExclusionRule | None:
         # The point is demanded with an accepted age too: a caller that has
         # just written must not miss its entry because older data would do.
         point = facts.need
         if point is not None and not self.view.covers(target, point):
-            return Rule.NOT_COVERED
+            return ExclusionRule.NOT_COVERED
         accepted = facts.accepted_age
         if accepted is None:
             return None
         is_proven = facts.age is not None and facts.age <= accepted
-        return None if is_proven else Rule.TOO_STALE
+        return None if is_proven else ExclusionRule.TOO_STALE
 
     def _is_primary(self, status: TargetStatus) -> bool:
         # A superseded primary still calls itself one. It serves like a
--- a/src/sedgeshunt/routing/catch_up.py
+++ b/src/sedgeshunt/routing/catch_up.py
@@ -7,7 +7,7 @@
 from sedgeshunt.groups.points import ORIGIN, Point
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId
 from sedgeshunt.limits.average import MovingAverage
-from sedgeshunt.routing.views import ChangingView
+from sedgeshunt.routing.views import WatchableView
 
 # Longer waits than the primary's are accepted up to this much, to keep the
 # read off the primary.
@@ -25,7 +25,7 @@
 ListTargets = Callable[[], Iterable[TargetId]]
 
 
-class CatchUp:
+class CatchUpEstimator:
     """Follow how long the replicas of one group take to apply records."""
 
     def __init__(self, patience: Seconds = PATIENCE) -> None:
@@ -36,9 +36,9 @@
         self._ends: dict[TargetId, Point] = {}
         self._lags: dict[TargetId, MovingAverage] = {}
 
-    async def watch(
+    async def track(
         self,
-        view: ChangingView,
+        view: WatchableView,
         list_targets: ListTargets,
     ) -> None:
         """Follow the group until cancelled."""
@@ -49,10 +49,10 @@
             for target in targets:
                 status = view.get_status(target)
                 if status is not None:
-                    self.note_log_end(target, status.log_end, now)
+                    self.record_log_end(target, status.log_end, now)
             await view.wait_change(Monotonic(now + WATCH_EVERY))
 
-    def note_log_end(
+    def record_log_end(
         self,
         target: TargetId,
         log_end: Point,
@@ -66,7 +66,7 @@
         if earlier is not None and earlier < log_end:
             self._note_lags(target, earlier, log_end, now)
 
-    def estimate(
+    def estimate_wait(
         self,
         target: TargetId,
         point: Point | None,
@@ -85,7 +85,7 @@
         # moment, a later one follows no usual lag at all.
         return lag if waited <= 2 * lag else None
 
-    def should_wait(
+    def choose_wait(
         self,
         target: TargetId,
         point: Point | None,
@@ -97,7 +97,7 @@
 
         `primary_wait` is None when the primary cannot serve.
         """
-        expected = self.estimate(target, point, now)
+        expected = self.estimate_wait(target, point, now)
         if expected is None:
             return None
         longest = (deadline - now) * SHARE_OF_TIME_LEFT
--- a/src/sedgeshunt/routing/choice.py
+++ b/src/sedgeshunt/routing/choice.py
@@ -7,12 +7,12 @@
 
 from sedgeshunt.configuration.objects import Route, Target
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId, ZoneId
+from sedgeshunt.routing.assessments import Assessment, ExclusionRule
+from sedgeshunt.routing.assessor import ReadNeed, TargetAssessor
 from sedgeshunt.routing.health import GroupHealth
-from sedgeshunt.routing.judging import Judge, ReadNeed
-from sedgeshunt.routing.verdicts import Rule, Verdict
 from sedgeshunt.routing.views import FreshnessView, Load
 
-__all__ = ('Ranking', 'ReadNeed', 'ReadRouter', 'Rule', 'Verdict')
+__all__ = ('Ranking', 'ReadNeed', 'ReadRouter', 'ExclusionRule', 'Assessment')
 
 # A target in another availability zone comes first only if the own one is
 # busier by more than this wait.
@@ -24,22 +24,23 @@
 
 
 class Ranking(Struct, frozen=True):
-    """Hold the targets to try, best first, and a verdict on each."""
+    """Hold the targets to try, best first, and a assessment on each."""
 
     # Ejected targets are in it only when there is nobody else.
     eligible: tuple[TargetId, ...]
-    verdicts: tuple[Verdict, ...]
+    assessments: tuple[Assessment, ...]
     # The replica that is nearest to what no replica can serve yet.
-    may_catch_up: TargetId | None
+    catch_up_candidate: TargetId | None
     # The first is a replica in good health, not a probe nor the primary.
-    leads_with_replica: bool = False
+    is_replica_first: bool = False
 
     def describe(self) -> str:
         """Explain the ranking in one line."""
-        if not self.verdicts:
+        if not self.assessments:
             return 'the group has no targets'
         return '; '.join(
-            f'{verdict.target}: {verdict.detail}' for verdict in self.verdicts
+            f'{assessment.target}: {assessment.detail}'
+            for assessment in self.assessments
         )
 
 
@@ -68,7 +69,7 @@
         may_probe: bool = True,
     ) -> Ranking:
         """Rank replicas before the primary; explaining claims no probe."""
-        judge = Judge(
+        assessor = TargetAssessor(
             self._zone,
             view,
             self.health,
@@ -77,75 +78,86 @@
             now,
             may_probe,
         )
-        verdicts = [
-            judge.judge(target, self._measure_wait(target.name, now))
+        assessments = [
+            assessor.assess(target, self._measure_wait(target.name, now))
             for target in targets
         ]
-        return _rank(verdicts)
+        return _rank(assessments)
 
     def _measure_wait(self, target: TargetId, now: Monotonic) -> Seconds:
         load = self._loads.get(target)
         return Seconds(0) if load is None else load.expected_wait(now)
 
 
-def _rank(verdicts: Sequence[Verdict]) -> Ranking:
-    able = [verdict for verdict in verdicts if verdict.rule is None]
-    replicas = [verdict for verdict in able if not verdict.facts.is_primary]
-    primaries = [verdict for verdict in able if verdict.facts.is_primary]
+def _rank(assessments: Sequence[Assessment]) -> Ranking:
+    able = [assessment for assessment in assessments if assessment.rule is None]
+    replicas = [
+        assessment for assessment in able if not assessment.facts.is_primary
+    ]
+    primaries = [
+        assessment for assessment in able if assessment.facts.is_primary
+    ]
     order = [*_sort(replicas), *_sort(primaries)]
     # Ejection is a guess. With nobody else left a target that may be slow is
     # better for the caller than no answer.
     order = order or _sort(
-        [verdict for verdict in verdicts if verdict.rule is Rule.EJECTED],
+        [
+            assessment
+            for assessment in assessments
+            if assessment.rule is ExclusionRule.EJECTED
+        ],
     )
     return Ranking(
-        eligible=tuple(verdict.target for verdict in order),
-        verdicts=tuple(
-            _leave_to_replicas(verdict) if replicas else verdict
-            for verdict in verdicts
+        eligible=tuple(assessment.target for assessment in order),
+        assessments=tuple(
+            _leave_to_replicas(assessment) if replicas else assessment
+            for assessment in assessments
         ),
-        may_catch_up=None if replicas else _find_nearest(verdicts),
-        leads_with_replica=bool(replicas) and not order[0].is_probe,
+        catch_up_candidate=None if replicas else _find_nearest(assessments),
+        is_replica_first=bool(replicas) and not order[0].is_probe,
     )
 
 
-def _sort(verdicts: list[Verdict]) -> list[Verdict]:
-    if len(verdicts) < 2:
-        return verdicts
-    return sorted(verdicts, key=_compute_cost)
+def _sort(assessments: list[Assessment]) -> list[Assessment]:
+    if len(assessments) < 2:
+        return assessments
+    return sorted(assessments, key=_compute_cost)
 
 
-def _compute_cost(verdict: Verdict) -> tuple[bool, int, int, float]:
-    facts = verdict.facts
+def _compute_cost(assessment: Assessment) -> tuple[bool, int, int, float]:
+    facts = assessment.facts
     # A probe goes first, or a readmitted target would never be asked while
     # others are near and idle.
     distance = 0 if facts.is_near else ZONE_COST
     age = UNKNOWN_AGE if facts.age is None else facts.age
     return (
-        not verdict.is_probe,
+        not assessment.is_probe,
         int((facts.wait + distance) / WAIT_STEP),
         int(age / AGE_STEP),
         random(),
     )
 
 
-def _leave_to_replicas(verdict: Verdict) -> Verdict:
-    if verdict.rule is not None or not verdict.facts.is_primary:
-        return verdict
-    return Verdict(verdict.target, Rule.LEFT_TO_REPLICAS, verdict.facts)
+def _leave_to_replicas(assessment: Assessment) -> Assessment:
+    if assessment.rule is not None or not assessment.facts.is_primary:
+        return assessment
+    return Assessment(
+        assessment.target, ExclusionRule.LEFT_TO_REPLICAS, assessment.facts
+    )
 
 
-def _find_nearest(verdicts: Sequence[Verdict]) -> TargetId | None:
+def _find_nearest(assessments: Sequence[Assessment]) -> TargetId | None:
     behind = [
-        verdict
-        for verdict in verdicts
-        if verdict.rule in {Rule.NOT_COVERED, Rule.TOO_STALE}
-        and not verdict.facts.is_primary
+        assessment
+        for assessment in assessments
+        if assessment.rule
+        in {ExclusionRule.NOT_COVERED, ExclusionRule.TOO_STALE}
+        and not assessment.facts.is_primary
     ]
     if not behind:
         return None
     return max(behind, key=_compute_nearness).target
 
 
-def _compute_nearness(verdict: Verdict) -> tuple[tuple[int, int], bool]:
-    return verdict.facts.log_end or (0, 0), verdict.facts.is_near
+def _compute_nearness(assessment: Assessment) -> tuple[tuple[int, int], bool]:
+    return assessment.facts.log_end or (0, 0), assessment.facts.is_near
--- a/src/sedgeshunt/routing/freshness.py
+++ b/src/sedgeshunt/routing/freshness_history.py
@@ -11,7 +11,7 @@
 LONGEST_AGE = Seconds(10)
 
 
-class FreshnessProof:
+class FreshnessHistory:
     """Remember which log end covered all commits before which moment."""
 
     # A log end that the primary showed, to a question asked at a moment,
@@ -28,7 +28,7 @@
         """Return the newest log end known."""
         return self._samples[-1][1] if self._samples else None
 
-    def note(self, asked_at: Boottime, tip: Point) -> None:
+    def record(self, asked_at: Boottime, tip: Point) -> None:
         """Take in a log end and when the question for it was asked."""
         samples = self._samples
         if samples and samples[-1][1].term > tip.term:
@@ -45,7 +45,7 @@
         while samples[0][0] < asked_at - LONGEST_AGE:
             samples.popleft()
 
-    def find(
+    def find_covering(
         self,
         since: Boottime,
         after: Point | None = None,
--- a/src/sedgeshunt/routing/health.py
+++ b/src/sedgeshunt/routing/health.py
@@ -50,7 +50,7 @@
         self._readmitted_at = Monotonic(0)
         self._pauses = Backoff(SHORTEST_EJECTION, LONGEST_EJECTION)
 
-    def note(self, latency: Seconds, *, ok: bool) -> None:
+    def record_outcome(self, latency: Seconds, *, ok: bool) -> None:
         """Take in one outcome; `ok` means that the target answered."""
         # While ejected, answers belong to statements of before; they say
         # nothing of the target's state now.
@@ -63,7 +63,7 @@
         elif self.state is HealthState.PROBATION and ok:
             self._pass_probe()
 
-    def is_suspected(self) -> bool:
+    def is_excluded(self) -> bool:
         """Tell whether the target is left out, but for probes."""
         return self.state is not HealthState.HEALTHY
 
@@ -83,7 +83,7 @@
         if self.state is HealthState.HEALTHY:
             if now - self._readmitted_at > FORGIVEN_AFTER:
                 self._pauses.reset()
-        pause = self._pauses.draw()
+        pause = self._pauses.compute_delay()
         self.state = HealthState.EJECTED
         self._next_probe = Monotonic(now + pause)
         self._forget()
@@ -144,7 +144,7 @@
         for name in set(self._targets) - set(targets):
             self._targets.pop(name)
 
-    def is_ejected(self, target: TargetId) -> bool:
+    def is_excluded(self, target: TargetId) -> bool:
         """Tell whether `target` is left out, but for probes."""
         known = self._targets.get(target)
         return known is not None and known.state is not HealthState.HEALTHY
--- a/src/sedgeshunt/routing/recent.py
+++ b/src/sedgeshunt/routing/recent_choices.py
@@ -31,14 +31,17 @@
         """Remember nothing yet."""
         self._choices: dict[TrafficClass, _Choice] = {}
 
-    def note(
+    def record(
         self,
         traffic_class: TrafficClass,
         ranking: Ranking,
         now: Monotonic,
     ) -> None:
         """Remember the first of a ranking if it is an ordinary replica."""
-        if ranking.may_catch_up is not None or not ranking.leads_with_replica:
+        if (
+            ranking.catch_up_candidate is not None
+            or not ranking.is_replica_first
+        ):
             self._choices.pop(traffic_class, None)
             return
         until = Monotonic(now + REMEMBERED_FOR)
--- a/src/sedgeshunt/routing/views.py
+++ b/src/sedgeshunt/routing/views.py
@@ -16,7 +16,7 @@
     def get_primary(self) -> TargetId | None:
         """Return who leads in the newest term."""
 
-    def is_heard(self, target: TargetId, now: Monotonic) -> bool:
+    def is_responsive(self, target: TargetId, now: Monotonic) -> bool:
         """Tell whether `target` answers, as far as is known."""
 
     def covers(self, target: TargetId, point: Point) -> bool:
@@ -26,7 +26,7 @@
         """Return how old the target's data is at most, None if unproven."""
 
 
-class ChangingView(FreshnessView, Protocol):
+class WatchableView(FreshnessView, Protocol):
     """Tell also when something was learnt."""
 
     async def wait_change(self, deadline: Monotonic) -> bool:
--- a/src/sedgeshunt/served_groups.py
+++ b/src/sedgeshunt/served_groups.py
@@ -15,7 +15,7 @@
 from sedgeshunt.connections.shares import compute_share
 from sedgeshunt.decisions import DecisionLog
 from sedgeshunt.group_runtime import GroupRuntime
-from sedgeshunt.groups.keeper import GroupKeeper
+from sedgeshunt.groups.supervisor import GroupSupervisor
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
 from sedgeshunt.limits.admission import TargetAdmission
@@ -107,7 +107,7 @@
             GroupHealth(group.name, parts.decisions),
             self._make_service,
         )
-        keeper = GroupKeeper(
+        keeper = GroupSupervisor(
             group.name,
             view,
             parts.connector,
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -361,7 +361,7 @@
             return False
         return all(
             runtime.service.view.get_primary() is not None
-            and runtime.service.view.hears_majority()
+            and runtime.service.view.reaches_majority()
             for runtime in runtimes.values()
         )
 
--- a/tests/features/group_bench.py
+++ b/tests/features/group_bench.py
@@ -13,9 +13,9 @@
 from sedgeshunt.configuration.objects import LEAVING, STATE_LABEL, Target
 from sedgeshunt.decisions import Decision, DecisionKind, MemoryDecisionLog
 from sedgeshunt.exceptions import SedgeshuntError
-from sedgeshunt.groups.keeper import GroupKeeper
-from sedgeshunt.groups.panel import PeerPanel
+from sedgeshunt.groups.peer_query import PeerQuery
 from sedgeshunt.groups.points import ORIGIN, Point
+from sedgeshunt.groups.supervisor import GroupSupervisor
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import (
     GroupId,
@@ -40,7 +40,7 @@
 Outcome = TypeVar('Outcome')
 
 
-class ReachablePanel(PeerPanel):
+class ReachablePanel(PeerQuery):
     """Ask the other proxies that no cut separates."""
 
     def __init__(self, bench: 'GroupBench', own: Place) -> None:
@@ -48,7 +48,7 @@
         self._bench = bench
         self._own = own
 
-    async def ask_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
+    async def query_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
         """Return the answers; a proxy out of reach costs the whole time."""
         network = self._bench.databases.network
         reports = []
@@ -77,7 +77,7 @@
             ZoneId(zone),
             name,
         )
-        self.keeper = GroupKeeper(
+        self.keeper = GroupSupervisor(
             GROUP,
             self.view,
             self.connector,
--- a/tests/features/promise_safeguards.py
+++ b/tests/features/promise_safeguards.py
@@ -89,7 +89,7 @@
 
 
 def _measure_with_majority(view: GroupView, target: Any, now: Any) -> Any:
-    if not view.hears_majority():
+    if not view.reaches_majority():
         return None
     return MEASURE_AGE(view, target, now)
 
@@ -117,7 +117,7 @@
     'barrier after unknown': ((SessionState, 'note_unknown', _do_nothing),),
     'majority evidence': ((Confirmation, 'confirm', _pass_answer),),
     'longest log': ((promoter, 'choose_candidate', _choose_shortest),),
-    'majority in reach': ((GroupView, 'hears_majority', _say_yes),),
+    'majority in reach': ((GroupView, 'reaches_majority', _say_yes),),
     'closed connection': ((Loan, 'taint', _do_nothing),),
     'discarded answer': ((TargetPool, 'take_back', _keep_dirty),),
     'lost state': ((Transaction, '_lose', _begin_anew),),
--- a/tests/features/steps/acknowledgement_steps.py
+++ b/tests/features/steps/acknowledgement_steps.py
@@ -9,8 +9,8 @@
 from behave import given, then, when
 
 from sedgeshunt.clocks import PauseWatch, read_clock
-from sedgeshunt.groups.pace import Demand
 from sedgeshunt.groups.points import Point
+from sedgeshunt.groups.polling import PollUrgency
 from sedgeshunt.groups.status import Observation, Role, TargetStatus
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import (
@@ -81,8 +81,11 @@
         return max(dates) if len(dates) >= majority else None
 
     for name, double in (
-        ('sedgeshunt.groups.evidence.date_evidence', date_anyhow),
-        ('sedgeshunt.groups.terms.TermRegister.learn', _learn_nothing),
+        (
+            'sedgeshunt.groups.quorum_tracker.find_confirmation_time',
+            date_anyhow,
+        ),
+        ('sedgeshunt.groups.terms.TermHistory.record', _learn_nothing),
     ):
         off = patch(name, double)
         off.start()
@@ -98,7 +101,7 @@
 def count_old_evidence(context: Any) -> None:
     for off in (
         patch.object(PauseWatch, 'check', _learn_nothing),
-        patch('sedgeshunt.groups.evidence.EVIDENCE_BOUND', 100),
+        patch('sedgeshunt.groups.quorum_tracker.MAX_EVIDENCE_AGE', 100),
     ):
         off.start()
         context.add_cleanup(off.stop)
@@ -125,7 +128,7 @@
 @when('"{name}" answers a write with the point {point}')
 def record_written(context: Any, name: str, point: str) -> None:
     def note() -> None:
-        context.view.note_written(
+        context.view.record_write(
             TargetId(name),
             parse_point(point),
             read_clock(),
@@ -136,7 +139,7 @@
 
 @when('"{name}" refuses a fence as it holds term {term:d}')
 def record_refusal(context: Any, name: str, term: int) -> None:
-    run(context, partial(context.view.learn_term, Term(term)))
+    run(context, partial(context.view.record_term, Term(term)))
 
 
 @when('a write at {point} waits for {limit:d} ms')
@@ -191,8 +194,12 @@
 
 @then('the targets are asked often')
 def check_pace(context: Any) -> None:
-    demand = run(context, context.view.choose_demand)
-    assert demand in {Demand.WRITES, Demand.PRIMARY, Demand.FRESH}, demand
+    demand = run(context, context.view.choose_poll_urgency)
+    assert demand in {
+        PollUrgency.WRITES,
+        PollUrgency.PRIMARY,
+        PollUrgency.FRESH,
+    }, demand
 
 
 @then('the view knows no primary')
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -148,7 +148,7 @@
 def check_panel(context: Any, name: str, count: int, limit: float) -> None:
     bench = context.bench
     started_at = bench.loop.time()
-    reports = bench.run(bench.nodes[name].roster.ask_primary(GROUP))
+    reports = bench.run(bench.nodes[name].roster.query_primary(GROUP))
     assert bench.loop.time() - started_at < limit
     assert len(reports) == count, reports
     assert {report.group for report in reports} == {GROUP}
--- a/tests/features/steps/promotion_steps.py
+++ b/tests/features/steps/promotion_steps.py
@@ -9,10 +9,10 @@
 
 from sedgeshunt.clocks import PauseWatch
 from sedgeshunt.decisions import DecisionKind
-from sedgeshunt.groups.objections import Objections
 from sedgeshunt.groups.promoter import Promoter
-from sedgeshunt.groups.repair import Repair
-from sedgeshunt.groups.stall import StallWatch
+from sedgeshunt.groups.promotion_deferral import PromotionDeferral
+from sedgeshunt.groups.repair import ReplicaRepair
+from sedgeshunt.groups.stall_detector import StallDetector
 from sedgeshunt.groups.status import Role
 from sedgeshunt.identifiers import Term
 from tests.features.group_bench import DATABASES, PROXIES, GroupBench
@@ -38,24 +38,24 @@
 
 SAFEGUARDS = {
     'majority': partial(patch, COUNT_MAJORITY, lambda _members: 1),
-    'repair': partial(patch.object, Repair, 'find_order', _find_nothing),
+    'repair': partial(patch.object, ReplicaRepair, 'find_order', _find_nothing),
     'peers': partial(
         patch.object,
-        Objections,
-        'stand_against',
+        PromotionDeferral,
+        'should_defer',
         _object_never,
     ),
     'pauses': partial(patch.object, PauseWatch, 'check', _find_nothing),
     'stall watch': partial(
         patch.object,
-        StallWatch,
+        StallDetector,
         'find_stall',
         _find_nothing,
     ),
     'gentle stop': partial(
         patch.object,
         Promoter,
-        '_stop_gently',
+        '_fence_leaving_primary',
         _fence_nobody,
     ),
     'rank delay': partial(patch, RANK_DELAY, 0),
--- a/tests/features/steps/routing_steps.py
+++ b/tests/features/steps/routing_steps.py
@@ -31,7 +31,7 @@
     TrafficClass,
     ZoneId,
 )
-from sedgeshunt.routing.catch_up import CatchUp
+from sedgeshunt.routing.catch_up import CatchUpEstimator
 from sedgeshunt.routing.choice import Ranking, ReadNeed, ReadRouter
 from sedgeshunt.routing.health import GroupHealth
 from sedgeshunt.routing.views import FreshnessView, Load
@@ -47,7 +47,7 @@
     status: TargetStatus | None
     age: float | None
     wait: float
-    is_heard: bool = True
+    is_responsive: bool = True
 
     def expected_wait(self, now: Monotonic) -> Seconds:
         return Seconds(self.wait)
@@ -65,8 +65,8 @@
     def get_primary(self) -> TargetId | None:
         return TargetId('ada')
 
-    def is_heard(self, target: TargetId, now: Monotonic) -> bool:
-        return self.known[target].is_heard
+    def is_responsive(self, target: TargetId, now: Monotonic) -> bool:
+        return self.known[target].is_responsive
 
     def covers(self, target: TargetId, point: Point) -> bool:
         status = self.known[target].status
@@ -88,7 +88,7 @@
         self.health = GroupHealth(GROUP, self.decisions)
         self.router = ReadRouter(ZoneId(zone), self.health, self.view.known)
         self.route = Route(name='r', traffic_class=TrafficClass('status'))
-        self.catch_up = CatchUp()
+        self.catch_up = CatchUpEstimator()
         self.need = ReadNeed(None, None)
 
     def run(self, act: Callable[[], Any]) -> Any:
@@ -111,7 +111,7 @@
 
     def answer(self, target: str, count: int, spent: float, ok: bool) -> None:
         note = partial(
-            self.health.get(TargetId(target)).note,
+            self.health.get(TargetId(target)).record_outcome,
             Seconds(spent),
             ok=ok,
         )
@@ -156,7 +156,10 @@
         known.status = replace(known.status, log_end=parse_point(amount))
     else:
         spans = {'age': 'age', 'wait': 'wait'}
-        blanks = {'untold': ('status', None), 'silent': ('is_heard', False)}
+        blanks = {
+            'untold': ('status', None),
+            'silent': ('is_responsive', False),
+        }
         blanks['unproven'] = ('age', None)
         name, known_as = blanks.get(what) or (spans[what], int(amount) / 1000)
         setattr(known, name, known_as)
@@ -216,15 +219,15 @@
 
 @then('the verdict on "{target}" is "{rule}" and tells "{detail}"')
 def check_verdict(context: Any, target: str, rule: str, detail: str) -> None:
-    verdicts = {each.target: each for each in context.ranking.verdicts}
-    assert verdicts[target].rule.value == rule, verdicts[target]
-    assert detail in verdicts[target].detail, verdicts[target].detail
-    assert verdicts[target].detail in context.ranking.describe()
+    assessments = {each.target: each for each in context.ranking.assessments}
+    assert assessments[target].rule.value == rule, assessments[target]
+    assert detail in assessments[target].detail, assessments[target].detail
+    assert assessments[target].detail in context.ranking.describe()
 
 
 @then('"{target}" may catch up')
 def check_nearest(context: Any, target: str) -> None:
-    assert context.ranking.may_catch_up == target
+    assert context.ranking.catch_up_candidate == target
 
 
 @then('the decision "{kind}" is recorded for "{target}"')
@@ -242,7 +245,7 @@
         for name, delay in (('ada', 0), ('bob', lag), ('cyd', lag)):
             moment = Monotonic(context.now + delay / 1000)
             if number < 49 or not delay:
-                context.bench.catch_up.note_log_end(name, point, moment)
+                context.bench.catch_up.record_log_end(name, point, moment)
         context.now += 0.02
     context.now -= 0.02
 
@@ -254,7 +257,7 @@
 
 @then('a read of the newest record with {left:d} ms left waits {wait}')
 def check_wait(context: Any, left: int, wait: str) -> None:
-    waited = context.bench.catch_up.should_wait(
+    waited = context.bench.catch_up.choose_wait(
         TargetId('bob'),
         context.newest,
         Monotonic(context.now),
--- a/tests/features/steps/watermarks_steps.py
+++ b/tests/features/steps/watermarks_steps.py
@@ -77,7 +77,7 @@
 
 @when('the link to "{name}" breaks')
 def break_link(context: Any, name: str) -> None:
-    _run(context, lambda: context.view.lose(TargetId(name)))
+    _run(context, lambda: context.view.record_disconnect(TargetId(name)))
 
 
 @then('the barrier is not known')
