--- a/src/sedgeshunt/ownership/__init__.py
+++ b/src/sedgeshunt/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which proxy owns a group: it alone uses the group's primary."""
+"""Decide which proxy owns a group; only the owner uses its primary."""
--- a/src/sedgeshunt/ownership/claims.py
+++ b/src/sedgeshunt/ownership/claims.py
@@ -1,4 +1,4 @@
-"""Claim a group when it is this instance's turn, and hold it."""
+"""Claim groups for this instance and keep them while it owns them."""
 
 from abc import ABC, abstractmethod
 from asyncio import Event, TaskGroup, sleep, timeout
@@ -29,36 +29,36 @@
 from sedgeshunt.ownership.ranking import choose_candidates, rank_owners
 from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.group_ownership import (
-    LONGEST_EXTENSION,
+    MAX_EXTENSION,
     GroupOwnership,
 )
 from sedgeshunt.ownership.releases import Releases
 from sedgeshunt.registry.entries import GroupRecord, InstanceEntry
 
-# How often a claim is thought about while one may be near, and otherwise.
-LOOK_EVERY = Seconds(0.05)
-IDLE_LOOK = Seconds(0.25)
-# Each instance that is better placed gets this long to claim first.
+# How often a group is checked while a claim may follow soon, and otherwise.
+CLAIM_CHECK_INTERVAL = Seconds(0.05)
+IDLE_CHECK_INTERVAL = Seconds(0.25)
+# Delay of a claim for each instance that ranks higher.
 RANK_DELAY = Seconds(0.06)
-# At the first start of all a claim is known everywhere only once the changes
-# of the start have been gathered: with 0.06 s a rank, fifteen others
-# would claim each group in vain.
-FIRST_RANK_DELAY = Seconds(0.6)
-# An heir that was named gets as long as this many others.
-HEIR_RANKS = 5
-# At the first start of all, others register within this time.
-SETTLE_TIME = Seconds(1)
-# The answer to a claim that was lost may yet come true for this long.
-LATE_EFFECT = Seconds(10)
-RECORDS_EVERY = Seconds(1)
-# After a return of the store only an owner itself claims for so long: what the
-# latest owner proved its reign by before, and an order that the store has lost
-# the note of, are over by then, and the targets are listed again.
-RETURN_WAIT = Seconds(3)
+# Delay for each rank while a group has no record. When a fleet starts, a claim
+# reaches the other instances only after the batching delay of their watches;
+# with 0.06 s, fifteen others would attempt a failing claim of each group.
+STARTUP_RANK_DELAY = Seconds(0.6)
+# A named successor gets a head start of this many ranks.
+SUCCESSOR_RANKS = 5
+# Instances that start together register within this time.
+REGISTRATION_TIME = Seconds(1)
+# A claim whose answer was lost may still be committed within this time.
+LATE_COMMIT_TIME = Seconds(10)
+CANDIDATE_CHECK_INTERVAL = Seconds(1)
+# After a restore of the store only a current owner may claim within this time.
+# By then the leases and promises of the latest owner have expired, promotion
+# orders whose record was lost have ended, and targets are listed again.
+RESTORE_WAIT = Seconds(3)
 
 
 class KnownPeers(ABC):
-    """Know the other instances."""
+    """Provide access to the other instances."""
 
     @abstractmethod
     def list_instances(self) -> Sequence[InstanceEntry]:
@@ -70,27 +70,27 @@
 
     @abstractmethod
     def is_ownership_reported(self, group: GroupId, owner: ProxyId) -> bool:
-        """Tell whether a peer says that it still owns a group."""
+        """Return whether a peer reports that it still owns a group."""
 
 
 class ClaimContext:
-    """Hold what the claims of one instance share."""
+    """Hold the state that all claims of one instance share."""
 
     def __init__(
         self,
         records: GroupRecords,
         lease: InstanceLease,
         made: PromisesMade,
-        held: PromisesReceived,
+        received: PromisesReceived,
         releases: Releases,
         peers: KnownPeers,
         decisions: DecisionLog,
     ) -> None:
-        """Keep the parts."""
+        """Bind the collaborators of the claims."""
         self.records = records
         self.lease = lease
         self.made = made
-        self.held = held
+        self.received = received
         self.releases = releases
         self.list_instances = peers.list_instances
         self.find_instance = peers.find_instance
@@ -101,7 +101,7 @@
 
 
 class GroupClaim:
-    """Decide for one group whether this instance is to own it."""
+    """Decide whether this instance claims one group."""
 
     def __init__(
         self,
@@ -109,20 +109,20 @@
         context: ClaimContext,
         find_zone: Callable[[GroupId], ZoneId | None],
     ) -> None:
-        """Own nothing before run()."""
+        """Own nothing until a claim succeeds."""
         self.group = group
         self.changed = Event()
         self._context = context
         self._find_zone = find_zone
-        self._absent_since: Boottime | None = None
-        # Since when nothing but better placed instances is in the way.
-        self._free_since: Boottime | None = None
-        self._unsure_until = Boottime(0)
+        self._owner_absent_since: Boottime | None = None
+        # Since when only the delay for higher ranked instances remains.
+        self._eligible_since: Boottime | None = None
+        self._claim_uncertain_until = Boottime(0)
         self._withheld: frozenset[ProxyId] = frozenset()
 
     @property
     def is_claim_expected(self) -> bool:
-        """Tell whether the owner is silent, so that a claim may follow."""
+        """Return whether the owner is silent, so that a claim may follow."""
         records = self._context.records
         record = records.find_record(self.group)
         if record is None or records.owner not in record.candidates:
@@ -136,43 +136,50 @@
         while True:
             token = await self._try_claim()
             if token is not None:
-                return self._open_reign(token)
-            is_near = self._absent_since is not None or self.is_claim_expected
-            await self._wait_change(LOOK_EVERY if is_near else IDLE_LOOK)
+                return self._start_ownership(token)
+            is_near = (
+                self._owner_absent_since is not None or self.is_claim_expected
+            )
+            await self._wait_change(
+                CLAIM_CHECK_INTERVAL if is_near else IDLE_CHECK_INTERVAL
+            )
 
-    async def hold(self, reign: GroupOwnership) -> None:
-        """Return once the reign has ended."""
+    async def hold(self, ownership: GroupOwnership) -> None:
+        """Keep the group and return once the ownership has ended."""
         async with TaskGroup() as tasks:
-            keeping = tasks.create_task(self._keep_candidates(reign))
-            while self._still_owns(reign):
-                if reign.heir is not None and await self._give_up(reign):
+            keeping = tasks.create_task(self._keep_candidates(ownership))
+            while self._is_still_owner(ownership):
+                if ownership.successor is not None and await self._release(
+                    ownership
+                ):
                     break
-                await self._claim_again(reign)
-                await self._wait_change(IDLE_LOOK)
+                await self._reclaim(ownership)
+                await self._wait_change(IDLE_CHECK_INTERVAL)
             keeping.cancel()
-        # Others need not wait for promises, nor for a key that a lease keeps.
-        reign.end()
-        self._context.releases.record_own(self.group, reign.claim)
-        self._tell(DecisionKind.GROUP_LOST, reign.token)
-
-    async def _give_up(self, reign: GroupOwnership) -> bool:
-        heir = reign.heir
-        if heir is None:
+        # A release spares others the wait until promises and lease expire.
+        ownership.end()
+        self._context.releases.record_own(self.group, ownership.claim)
+        self._record_decision(DecisionKind.GROUP_LOST, ownership.token)
+
+    async def _release(self, ownership: GroupOwnership) -> bool:
+        successor = ownership.successor
+        if successor is None:
             return False
-        # Its word must be true when it is heard: the reign ends first.
-        reign.end()
+        # End the ownership first: once the successor learns of the release,
+        # it may claim at once.
+        ownership.end()
         if self._context.records.reaches_store():
             with suppress(PlatformUnavailable, AnswerLost):
-                await self._context.records.release(self.group, heir)
-        self._tell(DecisionKind.GROUP_RELEASED, reign.token)
+                await self._context.records.release(self.group, successor)
+        self._record_decision(DecisionKind.GROUP_RELEASED, ownership.token)
         return True
 
-    def _is_released(self) -> bool:
-        """Tell whether the latest owner has said that its reign is over."""
-        claim = self._find_claim()
+    def _is_owner_released(self) -> bool:
+        """Return whether the latest owner has released the group."""
+        claim = self._find_claim_number()
         return self._context.releases.is_released(self.group, claim)
 
-    def _find_claim(self) -> int:
+    def _find_claim_number(self) -> int:
         record = self._context.records.find_record(self.group)
         return 0 if record is None else record.claims
 
@@ -182,110 +189,112 @@
             async with timeout(limit):
                 await self.changed.wait()
 
-    def _still_owns(self, reign: GroupOwnership) -> bool:
-        if reign.is_over:
+    def _is_still_owner(self, ownership: GroupOwnership) -> bool:
+        if ownership.is_over:
             return False
         records = self._context.records
         owner = records.find_owner(self.group)
         if owner is not None and not records.is_own(owner):
-            # In a store that has lost this claim it is an earlier owner's key.
-            return records.is_outdated(self.group) and reign.is_held()
-        return reign.is_held()
+            # A store restored to before this claim holds the key of an
+            # earlier owner.
+            return records.is_claim_outdated(self.group) and ownership.is_held()
+        return ownership.is_held()
 
-    async def _claim_again(self, reign: GroupOwnership) -> None:
-        """Put the key back that has gone while proofs keep the reign up."""
+    async def _reclaim(self, ownership: GroupOwnership) -> None:
+        """Write the owner key again if it was lost during the ownership."""
         records = self._context.records
-        if records.find_token(self.group) == reign.token:
+        if records.find_token(self.group) == ownership.token:
             return
         if self._context.lease.id is None:
             return
         with suppress(PlatformUnavailable, AnswerLost, LeaseLapsed):
             token = await records.claim(
                 self.group,
-                reign.candidates,
+                ownership.candidates,
                 is_continued=True,
             )
-            if token is not None and reign.is_held():
-                reign.renew(token, self._find_claim())
-                self._tell(DecisionKind.GROUP_CLAIMED_AGAIN, token)
+            if token is not None and ownership.is_held():
+                ownership.renew(token, self._find_claim_number())
+                self._record_decision(DecisionKind.GROUP_CLAIMED_AGAIN, token)
 
     async def _try_claim(self) -> OwnerToken | None:
         context = self._context
         records = context.records
         owner = records.find_owner(self.group)
         is_other = owner is not None and owner.owner != records.owner
-        if is_other and not self._is_released():
-            self._absent_since = None
-            self._free_since = None
-            self._allow()
+        if is_other and not self._is_owner_released():
+            self._owner_absent_since = None
+            self._eligible_since = None
+            self._resume_promises()
             return None
-        # A process that was suspended wakes with a lease that may have lapsed:
-        # a reign under it ends at once, and would be claimed without end.
+        # After a suspension of the process the lease may have expired. A claim
+        # under it would end at once and be repeated in a busy loop.
         if context.is_stopping or not context.lease.is_held():
             return None
         is_own_key = owner is not None and not is_other
-        if is_own_key and not records.is_outdated(self.group):
-            # An earlier process of this instance held it, so nobody else can.
+        if is_own_key and not records.is_claim_outdated(self.group):
+            # The key belongs to an earlier process of this instance, so no
+            # other instance can own the group.
             return await self._claim(self._list_candidates())
-        if self._absent_since is None:
-            self._absent_since = read_boottime()
-        if not self._may_claim():
+        if self._owner_absent_since is None:
+            self._owner_absent_since = read_boottime()
+        if not self._can_claim():
             return None
         return await self._claim(self._list_candidates())
 
-    def _may_claim(self) -> bool:
+    def _can_claim(self) -> bool:
         context = self._context
         record = context.records.find_record(self.group)
         now = read_boottime()
-        absent_for = now - (self._absent_since or now)
-        if record is None and now - context.started_at < SETTLE_TIME:
+        absent_for = now - (self._owner_absent_since or now)
+        if record is None and now - context.started_at < REGISTRATION_TIME:
             return False
-        if self._is_settling():
+        if self._is_restore_recent():
             return False
-        last = self._find_bound(record)
-        if self._is_bound(self._list_bound(last)):
+        last = self._find_possible_owner(record)
+        if self._is_bound_by_promise(self._list_possible_owners(last)):
             return False
         if (
             record is not None
             and context.records.owner not in record.candidates
         ):
-            return absent_for > LONGEST_EXTENSION + OUTAGE_PROMISE_TIME
-        if self._free_since is None:
-            self._free_since = now
-        return now - self._free_since >= self._find_delay(record, last)
+            return absent_for > MAX_EXTENSION + OUTAGE_PROMISE_TIME
+        if self._eligible_since is None:
+            self._eligible_since = now
+        return now - self._eligible_since >= self._find_delay(record, last)
 
-    def _is_settling(self) -> bool:
-        """Tell whether the store has come back a moment ago."""
+    def _is_restore_recent(self) -> bool:
+        """Return whether the store was restored less than RESTORE_WAIT ago."""
         records = self._context.records
-        is_outdated = records.is_outdated(self.group)
-        return is_outdated and records.measure_era_age() < RETURN_WAIT
+        is_claim_outdated = records.is_claim_outdated(self.group)
+        return is_claim_outdated and records.measure_era_age() < RESTORE_WAIT
 
-    def _is_bound(self, owners: frozenset[ProxyId]) -> bool:
-        """Promise nothing more to `owners`; tell whether one may go on."""
+    def _is_bound_by_promise(self, owners: frozenset[ProxyId]) -> bool:
+        """Withhold promises from `owners`; return whether one may still own."""
         context = self._context
         if any(
             context.is_ownership_reported(self.group, one) for one in owners
         ):
-            # It goes on by our promise, or is about to claim again.
-            self._allow()
+            # It still owns the group, or is about to claim it again.
+            self._resume_promises()
             return True
-        self._withhold(owners)
+        self._withhold_promises(owners)
         return any(context.made.measure_remaining(one) > 0 for one in owners)
 
-    def _list_bound(self, last: ProxyId) -> frozenset[ProxyId]:
-        """List all who may own the group by a promise that was made here."""
-        if self._context.records.is_outdated(self.group):
-            # The claim of the latest owner may be lost, and its name.
+    def _list_possible_owners(self, last: ProxyId) -> frozenset[ProxyId]:
+        """List who may own the group by a promise of this instance."""
+        if self._context.records.is_claim_outdated(self.group):
+            # The claim of the latest owner, and with it its name, may be lost.
             return self._context.made.list_owners() | {last}
         return frozenset((last,) if last else ())
 
-    def _find_bound(self, record: GroupRecord | None) -> ProxyId:
-        """Return the latest owner if it may still go on by promises."""
+    def _find_possible_owner(self, record: GroupRecord | None) -> ProxyId:
+        """Return the latest owner if promises may extend its ownership."""
         if record is None or record.owner == self._context.records.owner:
             return ProxyId('')
-        if self._is_released():
+        if self._is_owner_released():
             return ProxyId('')
-        # A new process of that instance is there: the owner has ended.
+        # A new incarnation of that instance proves that the owner has ended.
         entry = self._context.find_instance(record.owner)
         if entry is not None and entry.incarnation != record.incarnation:
             return ProxyId('')
@@ -296,15 +305,15 @@
         record: GroupRecord | None,
         last: ProxyId,
     ) -> Seconds:
-        """Return for how long others may claim first."""
-        delay = FIRST_RANK_DELAY if record is None else RANK_DELAY
+        """Return how long to wait for instances that rank higher."""
+        delay = STARTUP_RANK_DELAY if record is None else RANK_DELAY
         return Seconds(self._find_rank(last) * delay)
 
     def _find_rank(self, last: ProxyId) -> int:
         own = self._context.records.owner
         record = self._context.records.find_record(self.group)
         if record is not None and record.heir:
-            return 0 if record.heir == own else HEIR_RANKS
+            return 0 if record.heir == own else SUCCESSOR_RANKS
         ranked = rank_owners(
             self.group,
             self._context.list_instances(),
@@ -333,7 +342,7 @@
         candidates: Sequence[ProxyId],
     ) -> OwnerToken | None:
         if not self._context.lease.is_short():
-            # An owner that is gone has to be missed at once.
+            # The failure of an owner must show quickly.
             self._context.lease.shorten()
             return None
         try:
@@ -341,59 +350,61 @@
         except (PlatformUnavailable, LeaseLapsed):
             await sleep(RANK_DELAY)
         except AnswerLost:
-            # It may be done all the same; the watch will show it.
-            self._unsure_until = Boottime(read_boottime() + LATE_EFFECT)
+            # The claim may have been committed; the watch will show it.
+            self._claim_uncertain_until = Boottime(
+                read_boottime() + LATE_COMMIT_TIME
+            )
             await sleep(RANK_DELAY)
         return None
 
-    def _open_reign(self, token: OwnerToken) -> GroupOwnership:
+    def _start_ownership(self, token: OwnerToken) -> GroupOwnership:
         context = self._context
-        reign = GroupOwnership(
+        ownership = GroupOwnership(
             self.group,
             context.records.owner,
             token,
             context.lease,
-            context.held,
+            context.received,
             self.changed.set,
         )
-        reign.candidates = frozenset(self._list_candidates())
-        reign.claim = self._find_claim()
-        self._absent_since = None
-        self._free_since = None
-        self._allow()
-        self._tell(DecisionKind.GROUP_CLAIMED, token)
-        return reign
-
-    async def _keep_candidates(self, reign: GroupOwnership) -> None:
-        """Add instances that came and drop those that have gone."""
+        ownership.candidates = frozenset(self._list_candidates())
+        ownership.claim = self._find_claim_number()
+        self._owner_absent_since = None
+        self._eligible_since = None
+        self._resume_promises()
+        self._record_decision(DecisionKind.GROUP_CLAIMED, token)
+        return ownership
+
+    async def _keep_candidates(self, ownership: GroupOwnership) -> None:
+        """Keep the list of candidates in line with the live instances."""
         while True:
-            await sleep(RECORDS_EVERY)
+            await sleep(CANDIDATE_CHECK_INTERVAL)
             chosen = frozenset(self._choose_candidates())
             record = self._context.records.find_record(self.group)
             if record is None or chosen == frozenset(record.candidates):
                 continue
-            # Until the store has answered, those of both lists may claim.
-            reign.candidates = reign.candidates | chosen
-            if await self._context.records.change_candidates(reign, chosen):
-                reign.candidates = chosen
+            # Until the store has answered, candidates of both lists may claim.
+            ownership.candidates = ownership.candidates | chosen
+            if await self._context.records.change_candidates(ownership, chosen):
+                ownership.candidates = chosen
 
-    def _withhold(self, owners: frozenset[ProxyId]) -> None:
+    def _withhold_promises(self, owners: frozenset[ProxyId]) -> None:
         if self._withheld != owners:
-            self._allow()
+            self._resume_promises()
             self._withheld = owners
             for owner in owners:
                 self._context.made.withhold(owner, self.group)
 
-    def _allow(self) -> None:
-        # A claim whose answer was lost may come true after its maker has
-        # gone back to promising; so it does not, until it is surely over.
-        if read_boottime() < self._unsure_until:
+    def _resume_promises(self) -> None:
+        # A claim whose answer was lost may still be committed: a promise made
+        # before that would be broken by it.
+        if read_boottime() < self._claim_uncertain_until:
             return
         for owner in self._withheld:
             self._context.made.allow(owner, self.group)
         self._withheld = frozenset()
 
-    def _tell(self, kind: DecisionKind, token: OwnerToken) -> None:
+    def _record_decision(self, kind: DecisionKind, token: OwnerToken) -> None:
         self._context.decisions.record(
             Decision(kind, self.group, reasons={'token': str(token)}),
         )
--- a/src/sedgeshunt/ownership/group_ownership.py
+++ b/src/sedgeshunt/ownership/group_ownership.py
@@ -1,4 +1,4 @@
-"""Tell at each moment whether this instance still owns a group."""
+"""Track whether this instance still owns a group."""
 
 from collections.abc import Callable
 
@@ -13,19 +13,19 @@
 from sedgeshunt.ownership.lease import InstanceLease
 from sedgeshunt.ownership.promises import PromisesReceived
 
-# How long an owner may go on by promises alone, counted from the end of its
-# lease. Longer than the store's outages; an instance that is no candidate
-# waits for longer than this before it claims.
-LONGEST_EXTENSION = Seconds(30)
+# How long promises alone may extend an ownership after its lease has expired.
+# Longer than usual outages of the store; an instance that is no candidate
+# waits longer than this before it claims.
+MAX_EXTENSION = Seconds(30)
 
 
 class GroupOwnership:
-    """Hold one time of ownership, from a claim to its end."""
+    """Hold one period of ownership, from a claim to its end."""
 
-    # Two proofs keep it up. The lease: the store gives the key to nobody else
-    # before it ends. The promises of all candidates: who might claim has said
-    # that it won't. So an outage of the store ends no reign, and neither does
-    # the death of a candidate; both together do.
+    # An ownership is valid by the lease, as the store gives the key to nobody
+    # else before it expires, or by the promises of all candidates not to
+    # claim. So neither an outage of the store nor the failure of a candidate
+    # ends it; both together do.
 
     def __init__(
         self,
@@ -34,29 +34,29 @@
         token: OwnerToken,
         lease: InstanceLease,
         promises: PromisesReceived,
-        on_leaving: Callable[[], object],
+        on_handover: Callable[[], object],
     ) -> None:
-        """Start with the lease's proof; call `on_leaving` to give it up."""
+        """Start under `lease`; call `on_handover` to request a handover."""
         self.group = group
         self.owner = owner
         self.token = token
-        # The number of the claim that it goes by, by the group's record.
+        # The number of its latest claim in the record of the group.
         self.claim = 0
         self.is_over = False
-        # Set once the group is to be given up to another instance.
-        self.heir: ProxyId | None = None
+        # Set once the group is to be handed over to another instance.
+        self.successor: ProxyId | None = None
         self._lease = lease
         self._lease_id = lease.id or 0
         self._promises = promises
-        self._on_leaving = on_leaving
-        # Those who may claim, by the store's record and by changes of it that
-        # are under way.
+        self._on_handover = on_handover
+        # Instances that may claim, by the record in the store and by pending
+        # changes of it.
         self.candidates: frozenset[ProxyId] = frozenset()
         self._lease_end = Boottime(0)
         self._held_until = Boottime(0)
 
     def is_held(self) -> bool:
-        """Tell whether nobody else can own the group at this moment."""
+        """Return whether nobody else can own the group at this moment."""
         if self.is_over:
             return False
         now = read_boottime()
@@ -64,35 +64,35 @@
         return now < self._held_until
 
     def is_held_for(self, span: Seconds) -> bool:
-        """Tell whether nobody else can own the group for `span` to come."""
+        """Return whether nobody else can own the group within `span`."""
         return self.is_held() and read_boottime() + span < self._held_until
 
-    def hand_over_to(self, heir: ProxyId) -> None:
-        """Have the group given up to another instance."""
-        self.heir = heir
-        self._on_leaving()
+    def hand_over_to(self, successor: ProxyId) -> None:
+        """Request a handover to another instance."""
+        self.successor = successor
+        self._on_handover()
 
     def end(self) -> None:
-        """End it for good."""
+        """End the ownership for good."""
         self.is_over = True
 
     def renew(self, token: OwnerToken, claim: int) -> None:
-        """Go on under a new claim that was made while this one held."""
+        """Continue under a new claim that was made before this one ended."""
         self.token = token
         self.claim = claim
         self._lease_id = self._lease.id or 0
 
     def _extend(self, now: Boottime) -> None:
-        lease_end = self._lease.read_end(self._lease_id)
+        lease_end = self._lease.find_expiry(self._lease_id)
         self._lease_end = Boottime(max(self._lease_end, lease_end))
         self._held_until = Boottime(max(self._held_until, lease_end))
-        # Promises only carry on what still holds. After a gap another may
-        # have claimed, and lost the group again, unseen from here.
+        # Promises only extend an ownership that is still valid. After a gap
+        # another instance may have owned the group without notice here.
         if now >= self._held_until:
             return
         others = self.candidates - {self.owner}
-        promised = self._promises.read_end(others) if others else lease_end
-        longest = self._lease_end + LONGEST_EXTENSION
+        promised = self._promises.find_expiry(others) if others else lease_end
+        longest = self._lease_end + MAX_EXTENSION
         self._held_until = Boottime(
             max(self._held_until, min(promised, longest)),
         )
--- a/src/sedgeshunt/ownership/promises.py
+++ b/src/sedgeshunt/ownership/promises.py
@@ -1,36 +1,36 @@
-"""Keep what candidates promise an owner while the store is away."""
+"""Track the promises by which candidates let an owner go on."""
 
 from collections.abc import Iterable
 
 from sedgeshunt.clocks import PROCESS_STARTED_AT, read_boottime
 from sedgeshunt.identifiers import Boottime, GroupId, ProxyId, Seconds
 
-# How long a promise binds its maker, counted from when it is sent. It is dated
-# by the heartbeat before, 0.2 s earlier, and renewed 0.2 s later; the rest lets
-# one heartbeat be lost.
+# How long a promise binds its sender. Its receiver counts it from the previous
+# heartbeat, 0.2 s earlier, and it is renewed 0.2 s later; the rest tolerates
+# the loss of one heartbeat.
 PROMISE_TIME = Seconds(0.7)
-# While the store does not answer a candidate, it can't claim anyway. A longer
-# promise then carries an owner over the loss of that candidate, as by a cut of
-# its zone, to the end of a usual outage of five seconds.
+# A candidate that the store doesn't answer can't claim anyway. If it fails
+# then, as by a cut of its zone, the longer promise lets the owner go on to the
+# end of a usual store outage of five seconds.
 OUTAGE_PROMISE_TIME = Seconds(4)
 
 
 class PromisesMade:
-    """Remember to which owners this instance promised not to claim."""
+    """Record to which owners this instance promised not to claim."""
 
-    # A promise says: "for so long from now I will not claim a group that you
-    # own". A process that starts has forgotten the promises of the one before
-    # it, so it is bound to everybody for as long as any promise holds.
+    # A promise states that its sender won't claim any group of the receiver
+    # for a time. Promises are kept in memory only, so a process that starts is
+    # bound to every owner for the longest time that a promise can last.
 
     def __init__(self, started_at: Boottime = PROCESS_STARTED_AT) -> None:
-        """Be bound by what the process before may have promised."""
+        """Be bound by promises that the previous process may have made."""
         self._started_at = started_at
         self._bound_until: dict[ProxyId, Boottime] = {}
-        # For which groups promises are withheld from an owner.
+        # For which groups promises to an owner are withheld.
         self._withheld: dict[ProxyId, set[GroupId]] = {}
 
     def make(self, owner: ProxyId, span: Seconds) -> Seconds:
-        """Promise `owner` for `span`, 0 if this instance is about to claim."""
+        """Make a promise and return its time, 0 if it is withheld."""
         if self._withheld.get(owner):
             return Seconds(0)
         until = Boottime(read_boottime() + span)
@@ -39,30 +39,30 @@
         return span
 
     def list_owners(self) -> frozenset[ProxyId]:
-        """List all to whom a promise was ever made."""
+        """List all owners to which a promise was ever made."""
         return frozenset(self._bound_until)
 
     def withhold(self, owner: ProxyId, group: GroupId) -> None:
-        """Promise `owner` nothing more, as `group` may be claimed."""
+        """Stop promises to `owner` before a claim of `group`."""
         self._withheld.setdefault(owner, set()).add(group)
 
     def allow(self, owner: ProxyId, group: GroupId) -> None:
-        """Promise `owner` again, unless another group may be claimed."""
+        """Resume promises to `owner`, unless another group withholds them."""
         self._withheld.get(owner, set()).discard(group)
 
     def measure_remaining(self, owner: ProxyId) -> Seconds:
-        """Return how long this instance is still bound to `owner`."""
+        """Return how long promises to `owner` still bind this instance."""
         since_start = self._started_at + OUTAGE_PROMISE_TIME
         until = max(since_start, self._bound_until.get(owner, Boottime(0)))
         return Seconds(max(0, until - read_boottime()))
 
 
 class PromisesReceived:
-    """Remember what candidates promised this instance, by its own clock."""
+    """Record the promises of candidates by this instance's own clock."""
 
     def __init__(self) -> None:
-        """Hold none."""
-        self._end: dict[ProxyId, Boottime] = {}
+        """Start without any promise."""
+        self._expiries: dict[ProxyId, Boottime] = {}
 
     def record(
         self,
@@ -70,16 +70,18 @@
         made_after: Boottime,
         span: Seconds,
     ) -> None:
-        """Take in a promise for `span` that was made after a reading."""
-        # The candidate repeats the last reading that it got from here: its
-        # own clock can't be compared, and a late message is dated rightly.
-        known = self._end.get(candidate, Boottime(0))
+        """Record a promise for `span` that was made after `made_after`."""
+        # `made_after` is the last clock reading of this instance that the
+        # candidate received: clocks of two instances can't be compared, and a
+        # delayed message is still dated correctly.
+        known = self._expiries.get(candidate, Boottime(0))
         end = made_after + span if made_after else 0
-        self._end[candidate] = Boottime(max(known, end))
+        self._expiries[candidate] = Boottime(max(known, end))
 
-    def read_end(self, candidates: Iterable[ProxyId]) -> Boottime:
-        """Return until when none of `candidates` will claim."""
+    def find_expiry(self, candidates: Iterable[ProxyId]) -> Boottime:
+        """Return until when no one of `candidates` will claim."""
         ends = (
-            self._end.get(candidate, Boottime(0)) for candidate in candidates
+            self._expiries.get(candidate, Boottime(0))
+            for candidate in candidates
         )
         return min(ends, default=Boottime(0))
--- a/src/sedgeshunt/ownership/ranking.py
+++ b/src/sedgeshunt/ownership/ranking.py
@@ -1,4 +1,4 @@
-"""Order the instances by how well each would own a group."""
+"""Rank the instances as owners of a group."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,7 +6,7 @@
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
 from sedgeshunt.registry.entries import InstanceEntry
 
-# Instances that may claim one group; each of them has to promise its owner.
+# Bounded because each candidate has to send promises to the owner.
 MAX_CANDIDATES = 8
 
 
@@ -15,9 +15,9 @@
     instances: Iterable[InstanceEntry],
     zone: ZoneId | None,
 ) -> list[InstanceEntry]:
-    """Order the instances, those in the primary's zone first."""
-    # An owner next to the primary spares each statement a way between zones;
-    # the hash spreads the groups over the zone's instances.
+    """Rank the instances, those in the zone of the primary first."""
+    # An owner in the zone of the primary saves each statement a round trip
+    # between zones; the hash spreads groups over the instances of the zone.
     return sorted(
         instances,
         key=lambda entry: (
@@ -34,10 +34,10 @@
     instances: Sequence[InstanceEntry],
     zone: ZoneId | None,
 ) -> tuple[ProxyId, ...]:
-    """Choose who may claim a group, from all zones in turn."""
+    """Choose the candidates of a group from all zones in turn."""
     ranked = rank_owners(group, instances, zone)
     chosen: list[ProxyId] = []
-    # A zone that is lost must not take all candidates with it.
+    # The loss of one zone must leave candidates in the others.
     while ranked and len(chosen) < MAX_CANDIDATES:
         seen: set[ZoneId] = set()
         for entry in tuple(ranked):
--- a/src/sedgeshunt/ownership/records.py
+++ b/src/sedgeshunt/ownership/records.py
@@ -1,4 +1,4 @@
-"""Claim groups, and keep what outlasts their owners, in the store."""
+"""Read and write the owners and the records of groups in the store."""
 
 from collections.abc import Collection
 
@@ -35,7 +35,7 @@
 from sedgeshunt.registry.current_store import CurrentStore
 from sedgeshunt.registry.entries import (
     GroupRecord,
-    LeaderNote,
+    PrimaryNote,
     OwnerEntry,
     ReplacementIntent,
     encode_entry,
@@ -49,12 +49,12 @@
 from sedgeshunt.registry.store_view import StoreView
 from sedgeshunt.revisions import begin_era
 
-ABSENT = Revision(0)
+ABSENT_REVISION = Revision(0)
 STORE_FAILURES = (PlatformUnavailable, AnswerLost, LeaseLapsed)
 
 
-class _SeenGroup(Struct, frozen=True):
-    """Hold what was last seen of a group, and the demand that it still is."""
+class _GroupSnapshot(Struct, frozen=True):
+    """Hold the known state of a group, and comparisons that confirm it."""
 
     owner_key: str
     record_key: str
@@ -80,71 +80,77 @@
         self._store = store
         self._view = view
         self._lease = lease
-        # What was known before the store came back from a copy.
+        # Records known before the store was restored from a snapshot.
         self._remembered: dict[GroupId, GroupRecord] = {}
-        store.listen(self._remember)
+        store.listen(self._remember_records)
 
     def reaches_store(self) -> bool:
-        """Tell whether the store has answered of late."""
+        """Return whether the store has answered recently."""
         return self._lease.reaches_store()
 
     def is_cut_off_from_store(self) -> bool:
-        """Tell whether peers that count as reaching the store truly do."""
+        """Return whether the store is unreachable to this instance only.
+
+        Valid only while a peer reports to reach the store.
+        """
         return self._lease.is_cut_off_from_store()
 
     def has_prompt_store(self, since: Boottime) -> bool:
-        """Tell whether the store answers quickly, and has since a moment."""
+        """Return whether a request sent after `since` was answered quickly."""
         return self._lease.has_prompt_store(since)
 
     def find_owner(self, group: GroupId) -> OwnerEntry | None:
-        """Return who owns a group by the store, None for nobody."""
+        """Return the owner of a group in the store, None for no owner."""
         pair = self._view.get(make_owner_key(group))
         return None if pair is None else read_entry(pair.value, OwnerEntry)
 
     def find_token(self, group: GroupId) -> OwnerToken:
-        """Return the token of the present owner, 0 for none."""
+        """Return the token of the current owner, 0 for no owner."""
         pair = self._view.get(make_owner_key(group))
         return OwnerToken(0 if pair is None else pair.revision)
 
     def find_record(self, group: GroupId) -> GroupRecord | None:
-        """Return a group's record, None before its first owner."""
+        """Return the record of a group, None before its first owner."""
         pair = self._view.get(make_record_key(group))
         stored = None if pair is None else read_entry(pair.value, GroupRecord)
         return choose_newer(stored, self._remembered.get(group))
 
-    def is_outdated(self, group: GroupId) -> bool:
-        """Tell whether a group's latest claim may be one that was lost."""
+    def is_claim_outdated(self, group: GroupId) -> bool:
+        """Return whether the latest claim of a group may have been lost.
+
+        That is so if it was made before the latest restore of the store.
+        """
         record = self.find_record(group)
         return record is not None and record.era < self._store.era
 
     def measure_era_age(self) -> Seconds:
-        """Return for how long the store's newest era has been known."""
+        """Return for how long the newest era of the store has been known."""
         return self._store.measure_era_age()
 
     def is_primary_uncertain(self, group: GroupId) -> bool:
-        """Tell whether another target may have led since the one noted."""
+        """Return whether the recorded primary may have been replaced since."""
         record = self.find_record(group)
         leader = None if record is None else record.leader
         return leader is not None and leader.era < self._store.era
 
     def find_intent(self, group: GroupId) -> ReplacementIntent | None:
-        """Return the promotion that may be under way."""
+        """Return the promotion that may be in progress."""
         record = self.find_record(group)
         return None if record is None else record.intent
 
     def find_term(self, group: GroupId) -> Term:
-        """Return the newest term in which a target is noted to lead."""
+        """Return the newest recorded term of a primary, 0 for none."""
         record = self.find_record(group)
         leader = None if record is None else record.leader
         return Term(0) if leader is None else leader.term
 
     def find_copies(self, group: GroupId) -> frozenset[CopyPlace]:
-        """Return where acknowledged writes may be, as far as noted."""
+        """Return the recorded places that may hold acknowledged writes."""
         record = self.find_record(group)
         return frozenset() if record is None else frozenset(record.copies)
 
     def is_own(self, entry: OwnerEntry | None) -> bool:
-        """Tell whether this very process is an owner."""
+        """Return whether an owner entry names this process."""
         return entry == OwnerEntry(self.owner, self.incarnation)
 
     async def claim(
@@ -154,55 +160,56 @@
         *,
         is_continued: bool = False,
     ) -> OwnerToken | None:
-        """Become the owner, if the store still is as it was seen.
+        """Claim the group unless its state in the store has changed.
 
-        A claim that `is_continued` is made by the owner itself. Raise
-        PlatformUnavailable, AnswerLost or LeaseLapsed.
+        `is_continued` marks a claim by the current owner. Return the token,
+        None if the claim failed; raise PlatformUnavailable, AnswerLost or
+        LeaseLapsed.
         """
-        seen = self._read(group)
-        claimed = self._make_record(
+        seen = self._read_group(group)
+        claimed = self._make_claim_record(
             seen.record or GroupRecord(group),
             candidates,
         )
         if is_continued:
-            claimed = self._vouch(claimed)
+            claimed = self._confirm_primary(claimed)
         return await self._write_claim(seen, encode_entry(claimed))
 
     async def _write_claim(
         self,
-        seen: _SeenGroup,
+        seen: _GroupSnapshot,
         record: bytes,
     ) -> OwnerToken | None:
         lease = self._lease.id
         if lease is None:
             raise LeaseLapsed
-        # The owner's key may be that of an earlier process on this instance.
+        # The owner key may be left by an earlier process of this instance.
         owner = encode_entry(OwnerEntry(self.owner, self.incarnation))
         committed = await self._store.commit(
             seen.compares,
             (Put(seen.owner_key, owner, lease), Put(seen.record_key, record)),
         )
-        if not self._accept(committed):
+        if not self._apply_result(committed):
             return None
         self._record_write(seen.owner_key, owner, committed.revision)
         self._record_write(seen.record_key, record, committed.revision)
         return OwnerToken(committed.revision)
 
-    def _vouch(self, claimed: GroupRecord) -> GroupRecord:
-        """Return a record whose leader nobody can have replaced since."""
+    def _confirm_primary(self, claimed: GroupRecord) -> GroupRecord:
+        """Mark the primary of a record as confirmed in the current era."""
         if claimed.leader is None:
             return claimed
         leader = replace(claimed.leader, era=self._store.era)
         return replace(claimed, leader=leader)
 
-    def _make_record(
+    def _make_claim_record(
         self,
         known: GroupRecord,
         candidates: Collection[ProxyId],
     ) -> GroupRecord:
         return replace(
             known,
-            # The numbers of claims that the store has lost are used up.
+            # Claim numbers that the store has lost must not be used again.
             claims=max(known.claims, begin_era(self._store.era)) + 1,
             era=self._store.era,
             candidates=tuple(sorted(candidates)),
@@ -213,87 +220,93 @@
 
     async def record_intent(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         target: TargetId,
         served: Term,
     ) -> bool:
-        """Write that a promotion is about to be ordered.
+        """Record a promotion before it is ordered.
 
         `served` is the newest term that this owner has served.
         """
-        intent = ReplacementIntent(target, reign.token)
-        record = self.find_record(reign.group)
+        intent = ReplacementIntent(target, ownership.token)
+        record = self.find_record(ownership.group)
         leader = None if record is None else record.leader
-        # The store may have missed who led since: the next owner must not
-        # trust the one that it has noted.
+        # The store may have missed a change of the primary: the next owner must
+        # not accept the recorded one.
         if leader is not None and leader.term < served:
             leader = replace(leader, term=served)
-        return await self._change(reign, intent=intent, leader=leader)
+        return await self._change(ownership, intent=intent, leader=leader)
 
-    async def clear_intent(self, reign: GroupOwnership) -> bool:
-        """Write that no promotion is under way."""
-        return await self._change(reign, intent=None)
+    async def clear_intent(self, ownership: GroupOwnership) -> bool:
+        """Record that no promotion is in progress."""
+        return await self._change(ownership, intent=None)
 
     async def record_uncertain_primary(
-        self, reign: GroupOwnership, target: TargetId
+        self, ownership: GroupOwnership, target: TargetId
     ) -> bool:
-        """Write that a target may have led the next term, and is lost."""
-        term = Term(self.find_term(reign.group) + 1)
-        leader = LeaderNote(target, term, era=self._store.era)
-        return await self._change(reign, leader=leader, intent=None)
+        """Record a lost target that may have been primary of the next term."""
+        term = Term(self.find_term(ownership.group) + 1)
+        leader = PrimaryNote(target, term, era=self._store.era)
+        return await self._change(ownership, leader=leader, intent=None)
 
     async def record_primary(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         target: TargetId,
         term: Term,
         life: TargetLife,
     ) -> bool:
-        """Write which target leads, and that no promotion is under way."""
-        record = self.find_record(reign.group)
-        leader = LeaderNote(target, term, life, self._store.era)
+        """Record the primary, and that no promotion is in progress."""
+        record = self.find_record(ownership.group)
+        leader = PrimaryNote(target, term, life, self._store.era)
         if record is not None and record.leader == leader:
             if record.intent is None:
                 return True
-        return await self._change(reign, leader=leader, intent=None)
+        return await self._change(ownership, leader=leader, intent=None)
 
     async def record_copies(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         places: Collection[CopyPlace],
     ) -> bool:
-        """Write where acknowledged writes may be."""
-        return await self._change(reign, copies=tuple(sorted(places)))
+        """Record the places that may hold acknowledged writes."""
+        return await self._change(ownership, copies=tuple(sorted(places)))
 
     async def change_candidates(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         candidates: Collection[ProxyId],
     ) -> bool:
-        """Write who may claim the group."""
-        return await self._change(reign, candidates=tuple(sorted(candidates)))
+        """Record which instances may claim the group."""
+        return await self._change(
+            ownership, candidates=tuple(sorted(candidates))
+        )
 
-    async def release(self, group: GroupId, heir: ProxyId) -> None:
-        """Give a group up, so that `heir` may claim it at once.
+    async def release(self, group: GroupId, successor: ProxyId) -> None:
+        """Release a group, so that `successor` may claim it at once.
 
         Raise PlatformUnavailable or AnswerLost.
         """
-        seen = self._read(group)
+        seen = self._read_group(group)
         if seen.record is None or not self.is_own(self.find_owner(group)):
             return
-        # With no latest owner named, nobody is bound by a promise to it.
-        freed = encode_entry(replace(seen.record, owner=ProxyId(''), heir=heir))
+        # An empty owner releases all candidates from their promises.
+        freed = encode_entry(
+            replace(seen.record, owner=ProxyId(''), heir=successor)
+        )
         await self._store.commit(
             seen.compares,
             (Delete(seen.owner_key), Put(seen.record_key, freed)),
         )
 
-    async def _change(self, reign: GroupOwnership, **changes: object) -> bool:
-        seen = self._read(reign.group)
+    async def _change(
+        self, ownership: GroupOwnership, **changes: object
+    ) -> bool:
+        seen = self._read_group(ownership.group)
         if seen.record is None or not self.is_own(seen.owner):
             return False
-        if self.is_outdated(reign.group):
-            # The claim may be lost: it is made again before anything else.
+        if self.is_claim_outdated(ownership.group):
+            # The claim may be lost and has to be made again first.
             return False
         document = encode_entry(replace(seen.record, **changes))
         try:
@@ -303,12 +316,12 @@
             )
         except STORE_FAILURES:
             return False
-        if not self._accept(committed):
+        if not self._apply_result(committed):
             return False
         self._record_write(seen.record_key, document, committed.revision)
         return True
 
-    def _remember(self) -> None:
+    def _remember_records(self) -> None:
         prefix = RECORDS_PREFIX
         for pair in self._view.list_prefix(prefix):
             group = GroupId(pair.key.removeprefix(prefix))
@@ -316,9 +329,9 @@
             if record is not None:
                 self._remembered[group] = record
 
-    def _read(self, group: GroupId) -> '_SeenGroup':
+    def _read_group(self, group: GroupId) -> '_GroupSnapshot':
         owner_key, record_key = make_owner_key(group), make_record_key(group)
-        return _SeenGroup(
+        return _GroupSnapshot(
             owner_key,
             record_key,
             self.find_owner(group),
@@ -329,7 +342,7 @@
             ),
         )
 
-    def _accept(self, committed: CommitResult) -> bool:
+    def _apply_result(self, committed: CommitResult) -> bool:
         for pair in committed.current:
             self._view.record(pair)
         return committed.succeeded
@@ -344,7 +357,7 @@
     stored: GroupRecord | None,
     remembered: GroupRecord | None,
 ) -> GroupRecord | None:
-    """Return the record that holds more, where the store may have lost it."""
+    """Return the newer record, as a restored store may hold an older one."""
     if stored is None or remembered is None:
         return stored or remembered
     if stored.era > remembered.era or stored.claims > remembered.claims:
@@ -353,4 +366,4 @@
 
 
 def _read_revision(pair: KeyValue | None) -> Revision:
-    return ABSENT if pair is None else pair.revision
+    return ABSENT_REVISION if pair is None else pair.revision
--- a/src/sedgeshunt/ownership/releases.py
+++ b/src/sedgeshunt/ownership/releases.py
@@ -1,31 +1,31 @@
-"""Tell candidates of reigns that ended before their promises did."""
+"""Announce ownerships that ended before their promises expired."""
 
 from sedgeshunt.clocks import read_boottime
 from sedgeshunt.identifiers import Boottime, GroupId, Seconds
 
-# A release is told to everybody who asks within this time.
-TOLD_FOR = Seconds(5)
+# A release is sent to every peer that sends a heartbeat within this time.
+ANNOUNCE_PERIOD = Seconds(5)
 
 
 class Releases:
-    """Remember releases, own ones and those that peers told."""
+    """Record releases by this instance and by peers."""
 
-    # An owner that the store does not answer can't give its key back. Its own
-    # word is as good: the reign has ended before it is given. The number of
-    # the claim keeps an old word from counting for a later reign.
+    # An owner that can't reach the store can't delete its key. An announcement
+    # to the candidates serves as well, because the ownership ends before it is
+    # sent. The claim number keeps it from releasing a later ownership.
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start without any release."""
         self._own: dict[GroupId, tuple[int, Boottime]] = {}
-        self._heard: dict[GroupId, int] = {}
+        self._peer_releases: dict[GroupId, int] = {}
 
     def record_own(self, group: GroupId, claim: int) -> None:
-        """Take in that this instance's reign by a claim has ended."""
+        """Record the end of an ownership of this instance."""
         self._own[group] = (claim, read_boottime())
 
     def list_recent(self) -> list[tuple[GroupId, int]]:
-        """List the groups and claims that are to be told."""
-        since = read_boottime() - TOLD_FOR
+        """List the groups and claim numbers that are to be announced."""
+        since = read_boottime() - ANNOUNCE_PERIOD
         return [
             (group, claim)
             for group, (claim, ended_at) in self._own.items()
@@ -33,9 +33,11 @@
         ]
 
     def record_peer_release(self, group: GroupId, claim: int) -> None:
-        """Take in a peer's word."""
-        self._heard[group] = max(claim, self._heard.get(group, 0))
+        """Record a release that a peer announced."""
+        self._peer_releases[group] = max(
+            claim, self._peer_releases.get(group, 0)
+        )
 
     def is_released(self, group: GroupId, claim: int) -> bool:
-        """Tell whether the reign by a claim is known to have ended."""
-        return claim > 0 and self._heard.get(group, 0) >= claim
+        """Return whether the ownership by a claim is known to have ended."""
+        return claim > 0 and self._peer_releases.get(group, 0) >= claim
--- a/src/sedgeshunt/registry/entries.py
+++ b/src/sedgeshunt/registry/entries.py
@@ -53,7 +53,7 @@
     token: OwnerToken
 
 
-class LeaderNote(Struct, frozen=True):
+class PrimaryNote(Struct, frozen=True):
     """Tell which target leads, and in which term at least."""
 
     target: TargetId
@@ -79,7 +79,7 @@
     era: Era = FIRST_ERA
     # The one instance that should claim next; others give it some time.
     heir: ProxyId = ProxyId('')
-    leader: LeaderNote | None = None
+    leader: PrimaryNote | None = None
     # Set before a promotion is ordered, cleared once its end is known.
     intent: ReplacementIntent | None = None
     # Addresses of targets that may hold acknowledged writes. Kept only where
