--- a/src/sedgeshunt/adapters/frame_calls.py
+++ b/src/sedgeshunt/adapters/frame_calls.py
@@ -17,8 +17,8 @@
     read_ms,
     read_place,
 )
-from sedgeshunt.customers.counting import Spend, Spent
 from sedgeshunt.customers.directory import Identity
+from sedgeshunt.customers.quotas import QuotaGrant, QuotaRequest
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
     CustomerId,
@@ -191,21 +191,21 @@
     return read_place(raw.point if raw.is_tip else raw.tip)
 
 
-def make_spend(spend: Spend) -> Any:
+def make_spend(spend: QuotaRequest) -> Any:
     """Return a question for room as frames have it."""
     return WireSpend(spend.customer, spend.wanted, spend.is_borrowed or None)
 
 
-def read_spend(raw: Any) -> Spend:
+def read_spend(raw: Any) -> QuotaRequest:
     """Return the question for room of a frame."""
-    return Spend(
+    return QuotaRequest(
         CustomerId(raw.customer),
         raw.wanted,
         bool(raw.is_borrowed),
     )
 
 
-def make_spent(spent: Spent) -> Any:
+def make_spent(spent: QuotaGrant) -> Any:
     """Return an answer on room as frames have it."""
     return WireSpent(
         spent.granted,
@@ -214,6 +214,6 @@
     )
 
 
-def read_spent(raw: Any) -> Spent:
+def read_spent(raw: Any) -> QuotaGrant:
     """Return the answer on room of a frame."""
-    return Spent(raw.granted, read_ms(raw.wait_ms), bool(raw.is_elsewhere))
+    return QuotaGrant(raw.granted, read_ms(raw.wait_ms), bool(raw.is_elsewhere))
--- a/src/sedgeshunt/connections/session_pool.py
+++ b/src/sedgeshunt/connections/session_pool.py
@@ -24,7 +24,7 @@
     TargetSessionConnector,
 )
 from sedgeshunt.connections.turns import TurnQueue
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.exceptions import TargetBusy, TargetUnreachable
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import CustomerId, Monotonic, Seconds
@@ -163,7 +163,7 @@
         values: Mapping[str, str],
         deadline: Monotonic,
         *,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
         is_transaction: bool = False,
         due: Monotonic | None = None,
     ) -> Result[SessionLoan, NotRun]:
--- a/src/sedgeshunt/connections/target_session.py
+++ b/src/sedgeshunt/connections/target_session.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from sedgeshunt.configuration.objects import Target
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
     CustomerId,
@@ -172,7 +172,7 @@
         target: Target,
         group: GroupId,
         limit: Seconds,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
     ) -> TargetSession:
         """Open a session in a customer's name.
 
--- a/src/sedgeshunt/customers/borrowing.py
+++ b/src/sedgeshunt/customers/borrowing.py
@@ -6,11 +6,11 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.customers.bucket import TokenBucket
-from sedgeshunt.customers.counting import (
-    CounterLinks,
-    CounterPlan,
-    Spend,
-    Spent,
+from sedgeshunt.customers.quotas import (
+    QuotaGrant,
+    QuotaLinks,
+    QuotaRequest,
+    QuotaServerPlan,
 )
 from sedgeshunt.identifiers import CustomerId, Monotonic, ProxyId, Seconds
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         own: ProxyId,
-        links: CounterLinks,
+        links: QuotaLinks,
         limit: Seconds,
     ) -> None:
         """Wait at most `limit` for each counter's answer."""
@@ -44,7 +44,7 @@
         self,
         customer: CustomerId,
         bucket: TokenBucket,
-        plan: CounterPlan,
+        plan: QuotaServerPlan,
     ) -> Seconds:
         """Fill a customer's part; return the wait for the next operation."""
         now = read_clock()
@@ -66,15 +66,15 @@
         self,
         customer: CustomerId,
         bucket: TokenBucket,
-        plan: CounterPlan,
+        plan: QuotaServerPlan,
     ) -> Seconds:
         waits = [bucket.find_wait(read_clock())]
         # Those of other zones only once the own one has nothing left.
         for counters in (plan.near, plan.far):
             answers = await self._ask_at_once(customer, bucket, counters)
-            for spent in answers:
-                bucket.add(spent.granted, read_clock())
-                waits.append(spent.wait)
+            for grant in answers:
+                bucket.add(grant.granted, read_clock())
+                waits.append(grant.wait)
             if any(answer.granted for answer in answers):
                 return Seconds(0)
         self._dry_until[customer] = Monotonic(read_clock() + DRY_TIME)
@@ -85,16 +85,16 @@
         customer: CustomerId,
         bucket: TokenBucket,
         counters: Sequence[ProxyId],
-    ) -> list[Spent]:
+    ) -> list[QuotaGrant]:
         others = [name for name in counters if name != self._own]
-        spend = _make_spend(customer, bucket, len(others))
+        request = _make_spend(customer, bucket, len(others))
         answers = await gather(
-            *(self._links.ask(name, spend, self._limit) for name in others),
+            *(self._links.ask(name, request, self._limit) for name in others),
         )
         return [
-            spent
-            for spent in answers
-            if spent is not None and not spent.is_elsewhere
+            grant
+            for grant in answers
+            if grant is not None and not grant.is_elsewhere
         ]
 
 
@@ -102,8 +102,8 @@
     customer: CustomerId,
     bucket: TokenBucket,
     lenders: int,
-) -> Spend:
+) -> QuotaRequest:
     room = bucket.find_room(read_clock())
     wanted = min(room, int(bucket.rate * BORROWED_TIME))
     each = wanted // max(1, lenders)
-    return Spend(customer, max(1, each), is_borrowed=True)
+    return QuotaRequest(customer, max(1, each), is_borrowed=True)
--- a/src/sedgeshunt/customers/directory.py
+++ b/src/sedgeshunt/customers/directory.py
@@ -9,7 +9,7 @@
 from sedgeshunt.identifiers import CustomerId, KeyDigest
 
 # The name of who calls where anybody may, and of the proxy's own work.
-NOBODY = CustomerId('')
+ANONYMOUS = CustomerId('')
 NO_KEY = KeyDigest('')
 # Two of a million keys have the same digest once in 37 million such sets.
 DIGEST_BYTES = 8
@@ -50,7 +50,7 @@
 class Identity(Struct, frozen=True):
     """Tell in whose name a call is made, and which version says so."""
 
-    customer: CustomerId = NOBODY
+    customer: CustomerId = ANONYMOUS
     key: KeyDigest = NO_KEY
     version: int = 0
 
@@ -59,20 +59,22 @@
     """Hold the customers of one version of the configuration."""
 
     customers: Mapping[CustomerId, Customer] = field(default_factory=dict)
-    holders: Mapping[KeyDigest, CustomerId] = field(default_factory=dict)
+    customers_by_key: Mapping[KeyDigest, CustomerId] = field(
+        default_factory=dict,
+    )
     # What all customers with a limit may ask together, a second.
     per_second: float = 0
 
-    def find_holder(self, key: KeyDigest) -> CustomerId | None:
+    def find_customer(self, key: KeyDigest) -> CustomerId | None:
         """Return whose key it is, None for nobody's."""
-        return self.holders.get(key)
+        return self.customers_by_key.get(key)
 
     def find_limit(self, customer: CustomerId) -> CustomerLimit | None:
         """Return how much a customer may ask, None for all it likes."""
         known = self.customers.get(customer)
         return None if known is None else known.limit
 
-    def find_part(self, customer: CustomerId) -> float:
+    def find_rate_share(self, customer: CustomerId) -> float:
         """Return a customer's part of all that customers may ask."""
         limit = self.find_limit(customer)
         if limit is None:
@@ -91,15 +93,19 @@
 def make_directory(customers: Iterable[Customer]) -> CustomerDirectory:
     """Put customers together; raise CustomerInvalid."""
     known: dict[CustomerId, Customer] = {}
-    holders: dict[KeyDigest, CustomerId] = {}
+    customers_by_key: dict[KeyDigest, CustomerId] = {}
     for customer in customers:
         _check_name(customer.name)
         _check_limit(customer)
         if customer.name in known:
             raise CustomerInvalid(customer.name, 'declare it once')
         known[customer.name] = customer
-        _note_keys(customer, holders)
-    return CustomerDirectory(known, holders, _sum_limits(known.values()))
+        _note_keys(customer, customers_by_key)
+    return CustomerDirectory(
+        known,
+        customers_by_key,
+        _sum_limits(known.values()),
+    )
 
 
 def _sum_limits(customers: Iterable[Customer]) -> float:
@@ -109,12 +115,12 @@
 
 def _note_keys(
     customer: Customer,
-    holders: dict[KeyDigest, CustomerId],
+    customers_by_key: dict[KeyDigest, CustomerId],
 ) -> None:
     if NO_KEY in customer.keys:
         raise CustomerInvalid(customer.name, 'give it no empty key')
     for key in customer.keys:
-        holder = holders.setdefault(key, customer.name)
+        holder = customers_by_key.setdefault(key, customer.name)
         if holder != customer.name:
             reason = f'give it a key that {holder} does not have'
             raise CustomerInvalid(customer.name, reason)
--- a/src/sedgeshunt/customers/gate.py
+++ b/src/sedgeshunt/customers/gate.py
@@ -6,13 +6,13 @@
 from msgspec.structs import replace
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.customers.counting import (
-    CounterLinks,
-    Spend,
-    Spent,
-)
 from sedgeshunt.customers.directory import CustomerLimit, Identity
-from sedgeshunt.customers.parts import PartCounter
+from sedgeshunt.customers.quota_server import QuotaServer
+from sedgeshunt.customers.quotas import (
+    QuotaGrant,
+    QuotaLinks,
+    QuotaRequest,
+)
 from sedgeshunt.identifiers import CustomerId, Monotonic, ProxyId, Seconds
 from sedgeshunt.requests.outcome import Cause, NotRun
 
@@ -36,20 +36,20 @@
         """Count one operation; return why it may not begin."""
 
 
-class CountedGate(CustomerGate):
+class QuotaGate(CustomerGate):
     """Ask the proxies that count a customer's operations."""
 
     def __init__(
         self,
         own: ProxyId,
-        links: CounterLinks,
-        counter: PartCounter,
+        links: QuotaLinks,
+        quota_server: QuotaServer,
         find_limit: FindLimit,
     ) -> None:
         """Count here where this proxy is one of them."""
         self._own = own
         self._links = links
-        self._counter = counter
+        self._quota_server = quota_server
         self._find_limit = find_limit
         # Customers that have no room, and until when.
         self._resting: dict[CustomerId, Monotonic] = {}
@@ -62,20 +62,20 @@
         rest = self._find_rest(identity.customer)
         if rest is not None:
             return _refuse(identity, limit, rest, self._own)
-        spent = await self._spend(Spend(identity.customer), limit)
-        if spent is None:
+        grant = await self._spend(QuotaRequest(identity.customer), limit)
+        if grant is None:
             return _refuse_uncounted(identity)
-        if spent.granted:
+        if grant.granted:
             return None
-        rest = min(LONGEST_REST, spent.wait)
+        rest = min(LONGEST_REST, grant.wait)
         self._resting[identity.customer] = Monotonic(read_clock() + rest)
-        return _refuse(identity, limit, spent.wait, spent.counter)
+        return _refuse(identity, limit, grant.wait, grant.counter)
 
-    async def answer(self, spend: Spend) -> Spent:
+    async def answer(self, request: QuotaRequest) -> QuotaGrant:
         """Answer another proxy's question."""
-        return await self._counter.spend(
-            spend,
-            self._find_limit(spend.customer),
+        return await self._quota_server.grant(
+            request,
+            self._find_limit(request.customer),
         )
 
     def _find_rest(self, customer: CustomerId) -> Seconds | None:
@@ -86,15 +86,22 @@
             return None
         return Seconds(until - now)
 
-    async def _spend(self, spend: Spend, limit: CustomerLimit) -> Spent | None:
+    async def _spend(
+        self,
+        request: QuotaRequest,
+        limit: CustomerLimit,
+    ) -> QuotaGrant | None:
         plan = self._links.plan()
         for name in (*plan.near, *plan.far):
             if name == self._own:
-                spent: Spent | None = await self._counter.spend(spend, limit)
+                grant: QuotaGrant | None = await self._quota_server.grant(
+                    request,
+                    limit,
+                )
             else:
-                spent = await self._links.ask(name, spend, ASK_LIMIT)
-            if spent is not None and not spent.is_elsewhere:
-                return replace(spent, counter=name)
+                grant = await self._links.ask(name, request, ASK_LIMIT)
+            if grant is not None and not grant.is_elsewhere:
+                return replace(grant, counter=name)
         return None
 
 
--- a/src/sedgeshunt/customers/rights.py
+++ b/src/sedgeshunt/customers/part_assignment.py
@@ -7,7 +7,7 @@
 HELD_FOR = Seconds(1.5)
 
 
-class PartsHeld:
+class HeldParts:
     """Know which proxies' parts of all limits are counted here."""
 
     # Each proxy brings an equal part of every limit to the counter that it
@@ -22,7 +22,7 @@
         """Hold nobody's."""
         self._until: dict[ProxyId, Boottime] = {}
 
-    def note(self, giver: ProxyId, heard: Boottime) -> None:
+    def hold(self, giver: ProxyId, heard: Boottime) -> None:
         """Hold a proxy's part; `heard` is this clock as the proxy knew it."""
         until = Boottime(heard + HELD_FOR)
         self._until[giver] = max(until, self._until.get(giver, until))
@@ -36,7 +36,7 @@
         return len(self._until)
 
 
-class PartGiven:
+class PartAssignment:
     """Decide which counter has this proxy's part of all limits."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self._holder: ProxyId | None = None
         self._free_at = Boottime(0)
 
-    def give(self, counter: ProxyId, wanted: ProxyId | None) -> bool:
+    def assign(self, counter: ProxyId, wanted: ProxyId | None) -> bool:
         """Tell whether a heartbeat to a counter is to bring the part.
 
         It goes to the `wanted` one once nobody else can hold it any more.
--- a/src/sedgeshunt/customers/counting.py
+++ b/src/sedgeshunt/customers/quotas.py
@@ -7,7 +7,7 @@
 from sedgeshunt.identifiers import CustomerId, ProxyId, Seconds
 
 
-class Spend(Struct, frozen=True):
+class QuotaRequest(Struct, frozen=True):
     """Ask for room for operations of a customer."""
 
     customer: CustomerId
@@ -16,7 +16,7 @@
     is_borrowed: bool = False
 
 
-class Spent(Struct, frozen=True):
+class QuotaGrant(Struct, frozen=True):
     """Tell how many operations may begin."""
 
     granted: int
@@ -28,7 +28,7 @@
     counter: ProxyId = ProxyId('')
 
 
-class CounterPlan(Struct, frozen=True):
+class QuotaServerPlan(Struct, frozen=True):
     """Hold who counts for the callers of one proxy."""
 
     # Of the own availability zone, the one to ask first at the beginning.
@@ -38,22 +38,22 @@
     fleet: int
 
 
-class CounterLinks(ABC):
+class QuotaLinks(ABC):
     """Reach the proxies that count."""
 
     @abstractmethod
-    def plan(self) -> CounterPlan:
+    def plan(self) -> QuotaServerPlan:
         """Tell who counts, by the instances that are known now."""
 
     @abstractmethod
-    def holds_own(self) -> bool:
+    def keeps_own_part(self) -> bool:
         """Tell whether this proxy counts its own part of limits itself."""
 
     @abstractmethod
     async def ask(
         self,
         counter: ProxyId,
-        spend: Spend,
+        request: QuotaRequest,
         limit: Seconds,
-    ) -> Spent | None:
+    ) -> QuotaGrant | None:
         """Ask a counter; None when it gives no answer within `limit`."""
--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -176,7 +176,9 @@
         known = self._plans.get(group.name)
         prefers_own_zone = self._configuration.has_customers()
         if known is None or not known.is_for(
-            instances, limit, prefers_own_zone=prefers_own_zone
+            instances,
+            limit,
+            prefers_own_zone=prefers_own_zone,
         ):
             plan = plan_readers(
                 group.name,
--- a/src/sedgeshunt/execution/primary_state.py
+++ b/src/sedgeshunt/execution/primary_state.py
@@ -7,7 +7,7 @@
 from sedgeshunt.execution.transactions import TransactionPlace
 from sedgeshunt.groups.waiters import ChangeSignal
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds
-from sedgeshunt.limits.holding import find_retry, is_worth_holding
+from sedgeshunt.limits.holding import find_retry_delay, is_worth_holding
 from sedgeshunt.requests.outcome import Cause, NotRun
 
 
@@ -72,5 +72,5 @@
         return NotRun(
             Cause.NO_PRIMARY,
             f'group {self.group} has no primary now',
-            find_retry(self._expected_at),
+            find_retry_delay(self._expected_at),
         )
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -224,7 +224,12 @@
         now = read_clock()
         waited = now - (came_at or now)
         aim_left = Seconds(call.aim_left - waited)
-        return self._standing.find_due(call.priority, aim_left, deadline, now)
+        return self._standing.find_due_time(
+            call.priority,
+            aim_left,
+            deadline,
+            now,
+        )
 
     def _note_wait(self, call: StatementCall, came_at: Monotonic) -> None:
         now = read_clock()
--- a/src/sedgeshunt/forwarding/link.py
+++ b/src/sedgeshunt/forwarding/link.py
@@ -18,13 +18,13 @@
 from result import Err, Result
 
 from sedgeshunt.clocks import read_boottime, read_clock
-from sedgeshunt.customers.counting import Spend, Spent
+from sedgeshunt.customers.quotas import QuotaGrant, QuotaRequest
 from sedgeshunt.exceptions import PeerUnreachable
 from sedgeshunt.forwarding.channel import FrameChannel, FrameConnector
 from sedgeshunt.forwarding.messages import (
+    Frame,
     Heartbeat,
     HeartbeatReply,
-    Frame,
     LeaseRenewal,
     OwnedGroup,
     ReachRequest,
@@ -97,7 +97,9 @@
 
     @abstractmethod
     def take_heartbeat_reply(
-        self, reply: HeartbeatReply, asked_at: Boottime
+        self,
+        reply: HeartbeatReply,
+        asked_at: Boottime,
     ) -> None:
         """Take in the answer to a heartbeat."""
 
@@ -245,9 +247,13 @@
         """Have the peer renew a lease in the store."""
         return _is_yes(await self._ask(Frame(0, kept_lease=asked), limit))
 
-    async def spend(self, spend: Spend, limit: Seconds) -> Spent | None:
+    async def request_quota(
+        self,
+        request: QuotaRequest,
+        limit: Seconds,
+    ) -> QuotaGrant | None:
         """Have the peer count operations; None without an answer."""
-        answer = await self._ask(Frame(0, spend=spend), limit)
+        answer = await self._ask(Frame(0, spend=request), limit)
         if answer is None:
             # A heartbeat tells whether it is there, before others ask it too.
             self.wake()
--- a/src/sedgeshunt/forwarding/messages.py
+++ b/src/sedgeshunt/forwarding/messages.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 from result import Result
 
-from sedgeshunt.customers.counting import Spend, Spent
+from sedgeshunt.customers.quotas import QuotaGrant, QuotaRequest
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
     Boottime,
@@ -102,5 +102,5 @@
     # What it hands on, under the number of that frame.
     changes: StoreChanges | None = None
     # Operations that a customer wants to begin, and the answer to it.
-    spend: Spend | None = None
-    spent: Spent | None = None
+    spend: QuotaRequest | None = None
+    spent: QuotaGrant | None = None
--- a/src/sedgeshunt/forwarding/server.py
+++ b/src/sedgeshunt/forwarding/server.py
@@ -8,13 +8,13 @@
 from result import Result
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.customers.counting import Spend, Spent
+from sedgeshunt.customers.quotas import QuotaGrant, QuotaRequest
 from sedgeshunt.execution.transactions import TransactionBook
 from sedgeshunt.forwarding.channel import FrameChannel
 from sedgeshunt.forwarding.messages import (
+    Frame,
     Heartbeat,
     HeartbeatReply,
-    Frame,
     LeaseRenewal,
     OwnedGroup,
     ReachRequest,
@@ -67,7 +67,7 @@
         """Renew a peer's lease in the store; tell whether it goes on."""
 
     @abstractmethod
-    async def count(self, spend: Spend) -> Spent:
+    async def grant_quota(self, request: QuotaRequest) -> QuotaGrant:
         """Count what a customer wants to begin at a peer."""
 
     @abstractmethod
@@ -86,10 +86,12 @@
 class PeerConnectionHandler:
     """Serve one peer's connection."""
 
-    def __init__(self, channel: FrameChannel, desk: PeerRequestHandler) -> None:
+    def __init__(
+        self, channel: FrameChannel, handler: PeerRequestHandler
+    ) -> None:
         """Own what the peer begins here."""
         self._channel = channel
-        self._desk = desk
+        self._handler = handler
         self._book = TransactionBook()
         self._running: dict[int, Task[None]] = {}
         # Where the peer's questions for changes are answered to.
@@ -108,7 +110,7 @@
                     task.cancel()
         finally:
             for receive in self._receivers.values():
-                self._desk.remove_follower(receive)
+                self._handler.remove_follower(receive)
             await self._book.undo_all()
 
     def _take(self, frame: Frame, tasks: TaskGroup) -> None:
@@ -125,16 +127,16 @@
         if frame.followed_from is not None:
             receive = partial(self._send_changes, number)
             self._receivers[number] = receive
-            self._desk.add_follower(receive, frame.followed_from)
+            self._handler.add_follower(receive, frame.followed_from)
         if frame.reach is not None:
             tasks.create_task(self._answer_reach(number, frame.reach))
         if frame.kept_lease is not None:
             tasks.create_task(self._answer_keep(number, frame.kept_lease))
         if frame.spend is not None:
-            tasks.create_task(self._answer_spend(number, frame.spend))
+            tasks.create_task(self._answer_quota(number, frame.spend))
         if frame.undone is not None:
             tasks.create_task(
-                self._desk.end_transaction(frame.undone, self._book),
+                self._handler.end_transaction(frame.undone, self._book),
             )
 
     def _give_up(self, number: int) -> None:
@@ -142,7 +144,7 @@
             self._running[number].cancel()
         receive = self._receivers.pop(number, None)
         if receive is not None:
-            self._desk.remove_follower(receive)
+            self._handler.remove_follower(receive)
 
     def _send_changes(self, number: int, changes: StoreChanges | None) -> None:
         is_over = changes is None
@@ -154,29 +156,31 @@
         self._sender = beat.sender or self._sender
         if self._sender is None:
             return None
-        reply = self._desk.answer_heartbeat(replace(beat, sender=self._sender))
+        reply = self._handler.answer_heartbeat(
+            replace(beat, sender=self._sender)
+        )
         if reply.relayed == self._relayed:
             return replace(reply, relayed=None)
         self._relayed = reply.relayed
         return reply
 
     async def _answer_reach(self, number: int, asked: ReachRequest) -> None:
-        is_reached = await self._desk.can_reach(asked.group, asked.target)
+        is_reached = await self._handler.can_reach(asked.group, asked.target)
         self._channel.send(Frame(number, is_reached=is_reached))
 
     async def _answer_keep(self, number: int, asked: LeaseRenewal) -> None:
-        is_kept = await self._desk.keep_lease(asked)
+        is_kept = await self._handler.keep_lease(asked)
         self._channel.send(Frame(number, is_reached=is_kept))
 
-    async def _answer_spend(self, number: int, spend: Spend) -> None:
-        spent = await self._desk.count(spend)
-        self._channel.send(Frame(number, spent=spent))
+    async def _answer_quota(self, number: int, request: QuotaRequest) -> None:
+        grant = await self._handler.grant_quota(request)
+        self._channel.send(Frame(number, spent=grant))
 
     async def _run(self, number: int, call: StatementCall) -> None:
         try:
             deadline = Monotonic(read_clock() + call.time_left)
-            reply = await self._desk.run_call(call, self._book, deadline)
-            tip = self._desk.read_tip(call.group)
+            reply = await self._handler.run_call(call, self._book, deadline)
+            tip = self._handler.read_tip(call.group)
             self._channel.send(Frame(number, reply=reply, tip=tip))
         finally:
             self._running.pop(number, None)
--- a/src/sedgeshunt/limits/admission.py
+++ b/src/sedgeshunt/limits/admission.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.identifiers import (
     CustomerId,
     Monotonic,
@@ -15,7 +15,7 @@
     TrafficClass,
 )
 from sedgeshunt.limits.average import MovingAverage
-from sedgeshunt.limits.concurrency import Concurrency, ConcurrencyLimit
+from sedgeshunt.limits.concurrency import AdaptiveConcurrency, Concurrency
 from sedgeshunt.limits.fair_queue import FairQueue, Waiter
 from sedgeshunt.limits.permit import Permit
 from sedgeshunt.requests.outcome import Cause, NotRun
@@ -60,7 +60,7 @@
         self.target = target
         self._counts_stalls = counts_stalls
         self.running = 0
-        self.limit = limit or ConcurrencyLimit(
+        self.limit = limit or AdaptiveConcurrency(
             share,
             max(1, slots // max(1, seats)),
         )
@@ -96,7 +96,7 @@
         weight: int,
         deadline: Monotonic,
         *,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
         is_begun: bool = False,
         due: Monotonic | None = None,
     ) -> Result[Permit, NotRun]:
--- a/src/sedgeshunt/limits/concurrency.py
+++ b/src/sedgeshunt/limits/concurrency.py
@@ -52,7 +52,7 @@
         """Learn nothing."""
 
 
-class ConcurrencyLimit(Concurrency):
+class AdaptiveConcurrency(Concurrency):
     """Adapt a limit between 1 and a share by the latencies seen."""
 
     def __init__(self, share: int, start: int) -> None:
--- a/src/sedgeshunt/limits/fair_queue.py
+++ b/src/sedgeshunt/limits/fair_queue.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.identifiers import (
     CustomerId,
     Monotonic,
@@ -27,7 +27,7 @@
     weight: int
     deadline: Monotonic
     turn: 'Future[Outcome]'
-    customer: CustomerId = NOBODY
+    customer: CustomerId = ANONYMOUS
 
 
 class _Lane(Generic[Outcome]):
@@ -159,7 +159,7 @@
         traffic_class: TrafficClass,
         weight: int,
         now: Monotonic,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
     ) -> float:
         """Return how many turns come before that of a new arrival."""
         own = self._lanes.get(traffic_class)
--- a/src/sedgeshunt/limits/holding.py
+++ b/src/sedgeshunt/limits/holding.py
@@ -24,7 +24,7 @@
     return max(expected_at, read_clock()) + SHORTEST_USE < deadline
 
 
-def find_retry(expected_at: Monotonic | None) -> Seconds:
+def find_retry_delay(expected_at: Monotonic | None) -> Seconds:
     """Return when a refused caller may come back."""
     if expected_at is None:
         return LONGEST_RETRY
--- a/src/sedgeshunt/limits/permit.py
+++ b/src/sedgeshunt/limits/permit.py
@@ -19,7 +19,7 @@
         self.ok = False
         self._started = read_clock()
 
-    def read_spent(self) -> Seconds:
+    def read_elapsed(self) -> Seconds:
         """Return the time since the measurement began."""
         return Seconds(read_clock() - self._started)
 
@@ -51,7 +51,7 @@
             self.cancel()
             raise
         finally:
-            self.release(measured.read_spent(), ok=measured.ok)
+            self.release(measured.read_elapsed(), ok=measured.ok)
 
     def _return(self, latency: Seconds | None, *, ok: bool) -> None:
         if self._released:
--- a/src/sedgeshunt/limits/standing.py
+++ b/src/sedgeshunt/limits/standing.py
@@ -60,7 +60,7 @@
         if known is not None:
             known.pressed_at = now
 
-    def find_due(
+    def find_due_time(
         self,
         priority: int,
         aim_left: Seconds,
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Mapping
 
 from sedgeshunt.clocks import read_boottime
-from sedgeshunt.customers.rights import PartsHeld
+from sedgeshunt.customers.part_assignment import HeldParts
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
 from sedgeshunt.execution.group_table import GroupTable
 from sedgeshunt.forwarding.link import (
@@ -16,9 +16,9 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.waiters import ChangeSignal
 from sedgeshunt.identifiers import Boottime, GroupId, ProxyId, Seconds
-from sedgeshunt.membership.topology import Topology
-from sedgeshunt.membership.counters import LinkedCounters
 from sedgeshunt.membership.neighbours import Neighbours
+from sedgeshunt.membership.quota_links import PeerQuotaLinks
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.membership.zone_feed import ZoneFeed
 from sedgeshunt.ownership.lease import InstanceLease
 from sedgeshunt.ownership.promises import (
@@ -76,11 +76,11 @@
         neighbours: Neighbours,
         groups: GroupTable,
         feed: ZoneFeed,
-        counters: LinkedCounters,
-        parts: PartsHeld,
+        quota_links: PeerQuotaLinks,
+        parts: HeldParts,
     ) -> None:
         """Speak for `groups` and of `neighbours`."""
-        self._counters = counters
+        self._quota_links = quota_links
         self._parts = parts
         self._neighbours = neighbours
         self._groups = groups
@@ -100,7 +100,7 @@
             echo,
             self._configuration.version,
             self._view.newest,
-            self._counters.gives_part(peer),
+            self._quota_links.gives_part(peer),
         )
 
     def answer(self, beat: Heartbeat) -> HeartbeatReply:
@@ -110,7 +110,7 @@
             if beat.promised:
                 self._held.note(beat.sender.name, beat.echo, beat.promised)
             if beat.gives_part:
-                self._parts.note(beat.sender.name, beat.echo)
+                self._parts.hold(beat.sender.name, beat.echo)
         self._view.observe_revision(beat.store_revision)
         return HeartbeatReply(
             read_boottime(),
@@ -144,12 +144,14 @@
             return TIP_HEARTBEAT_INTERVAL
         # So is the part of limits that a peer counts for this instance.
         if self._configuration.has_customers():
-            if peer == self._counters.find_home():
+            if peer == self._quota_links.find_quota_server():
                 return TIP_HEARTBEAT_INTERVAL
         return SLOW_HEARTBEAT_INTERVAL
 
     def take_heartbeat_reply(
-        self, reply: HeartbeatReply, asked_at: Boottime
+        self,
+        reply: HeartbeatReply,
+        asked_at: Boottime,
     ) -> None:
         """Take in the answer to a heartbeat."""
         for owned in reply.owned:
--- a/src/sedgeshunt/membership/peers.py
+++ b/src/sedgeshunt/membership/peers.py
@@ -14,8 +14,8 @@
 from sedgeshunt.identifiers import GroupId, ProxyId, Revision, Seconds, ZoneId
 from sedgeshunt.membership.choice import KnownPeer, choose_peers, rank_peers
 from sedgeshunt.membership.directory import PeerDirectory
-from sedgeshunt.membership.peer_clients import REPORT_EVERY, PeerState
 from sedgeshunt.membership.mesh import PeerMesh, PeerView
+from sedgeshunt.membership.peer_clients import REPORT_EVERY, PeerState
 from sedgeshunt.membership.zones import ZoneWatch
 from sedgeshunt.ports import (
     Address,
--- a/src/sedgeshunt/membership/counters.py
+++ b/src/sedgeshunt/membership/quota_links.py
@@ -5,21 +5,21 @@
 from msgspec import Struct
 
 from sedgeshunt.clocks import read_boottime
-from sedgeshunt.customers.counting import (
-    CounterLinks,
-    CounterPlan,
-    Spend,
-    Spent,
+from sedgeshunt.customers.part_assignment import PartAssignment
+from sedgeshunt.customers.quotas import (
+    QuotaGrant,
+    QuotaLinks,
+    QuotaRequest,
+    QuotaServerPlan,
 )
-from sedgeshunt.customers.rights import PartGiven
 from sedgeshunt.groups.ranks import weigh
 from sedgeshunt.identifiers import Boottime, ProxyId, Seconds
-from sedgeshunt.membership.rendezvous import choose_counters, group_by_zone
 from sedgeshunt.membership.neighbours import Neighbours
+from sedgeshunt.membership.rendezvous import choose_quota_servers, group_by_zone
 from sedgeshunt.registry.entries import InstanceEntry
 
 # A counter that lends answers within two ways and its own work.
-BORROW_LIMIT = Seconds(0.05)
+BORROW_TIMEOUT = Seconds(0.05)
 # Instances that the store has lost may be cut off for so long.
 LONGEST_CUT = Seconds(60)
 
@@ -28,10 +28,10 @@
     """Hold who counts, for one list of instances."""
 
     instances: Sequence[InstanceEntry]
-    plan: CounterPlan
+    plan: QuotaServerPlan
 
 
-class LinkedCounters(CounterLinks):
+class PeerQuotaLinks(QuotaLinks):
     """Reach the counters over the links that exist anyway."""
 
     def __init__(self, own: InstanceEntry, neighbours: Neighbours) -> None:
@@ -39,17 +39,17 @@
         self._own = own
         self._neighbours = neighbours
         self._known: _KnownPlan | None = None
-        self._given = PartGiven()
+        self._assignment = PartAssignment()
         # The largest fleet of late, and when it was seen.
         self._fleet = 1
         self._fleet_at = Boottime(0)
 
-    def plan(self) -> CounterPlan:
+    def plan(self) -> QuotaServerPlan:
         """Tell who counts, by the instances that are known now."""
         instances = self._neighbours.list_instances()
         known = self._known
         if known is None or known.instances is not instances:
-            plan = plan_counters(
+            plan = plan_quota_servers(
                 self._own,
                 instances,
                 self._measure_fleet(len(instances)),
@@ -60,13 +60,13 @@
 
     def gives_part(self, peer: ProxyId) -> bool:
         """Tell whether a heartbeat to a peer is to bring the own part."""
-        return self._given.give(peer, self.find_home())
+        return self._assignment.assign(peer, self.find_quota_server())
 
-    def holds_own(self) -> bool:
+    def keeps_own_part(self) -> bool:
         """Tell whether this proxy counts its own part of limits itself."""
-        return self._given.give(self._own.name, self.find_home())
+        return self._assignment.assign(self._own.name, self.find_quota_server())
 
-    def find_home(self) -> ProxyId | None:
+    def find_quota_server(self) -> ProxyId | None:
         """Return the counter to ask first, None when none is reached."""
         plan = self.plan()
         for name in (*plan.near, *plan.far):
@@ -77,14 +77,14 @@
     async def ask(
         self,
         counter: ProxyId,
-        spend: Spend,
+        request: QuotaRequest,
         limit: Seconds,
-    ) -> Spent | None:
+    ) -> QuotaGrant | None:
         """Ask a counter; None when it gives no answer within `limit`."""
         link = self._neighbours.find_link(counter)
         if link is None or not link.is_answering():
             return None
-        return await link.spend(spend, limit)
+        return await link.request_quota(request, limit)
 
     def _is_answering(self, name: ProxyId) -> bool:
         link = self._neighbours.find_link(name)
@@ -100,19 +100,23 @@
         return self._fleet
 
 
-def plan_counters(
+def plan_quota_servers(
     own: InstanceEntry,
     instances: Sequence[InstanceEntry],
     fleet: int,
-) -> CounterPlan:
+) -> QuotaServerPlan:
     """Choose who counts for the callers of one instance."""
-    near = choose_counters(own.zone, instances)
+    near = choose_quota_servers(own.zone, instances)
     far = [
         name
         for zone in sorted(group_by_zone(instances).keys() - {own.zone})
-        for name in choose_counters(zone, instances)
+        for name in choose_quota_servers(zone, instances)
     ]
-    return CounterPlan(_spread(own.name, near), _spread(own.name, far), fleet)
+    return QuotaServerPlan(
+        _spread(own.name, near),
+        _spread(own.name, far),
+        fleet,
+    )
 
 
 def _spread(own: ProxyId, counters: Sequence[ProxyId]) -> tuple[ProxyId, ...]:
--- a/src/sedgeshunt/membership/readers.py
+++ b/src/sedgeshunt/membership/readers.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
-from sedgeshunt.membership.rendezvous import rank_instances, group_by_zone
+from sedgeshunt.membership.rendezvous import group_by_zone, rank_instances
 from sedgeshunt.registry.entries import InstanceEntry
 
 # Instances of each zone that read a group's replicas at the most: one may be
@@ -77,7 +77,9 @@
         per_zone = min(per_zone, max(1, most))
     chosen = map(partial(_choose_readers, group, per_zone), zones.values())
     return ReaderPlan(
-        dict(zip(zones, chosen)), total_connections, prefers_own_zone
+        dict(zip(zones, chosen)),
+        total_connections,
+        prefers_own_zone,
     )
 
 
--- a/src/sedgeshunt/membership/rendezvous.py
+++ b/src/sedgeshunt/membership/rendezvous.py
@@ -13,7 +13,7 @@
 # may own a group: one may be lost while the other takes over its followers.
 WATCHERS_PER_ZONE = 2
 # Instances of each zone that count what customers begin: one may be lost.
-COUNTERS_PER_ZONE = 2
+QUOTA_SERVERS_PER_ZONE = 2
 LARGEST_WEIGHT = 2**64
 
 
@@ -25,12 +25,12 @@
     return _choose('watchers', zone, instances)[:WATCHERS_PER_ZONE]
 
 
-def choose_counters(
+def choose_quota_servers(
     zone: ZoneId,
     instances: Iterable[InstanceEntry],
 ) -> tuple[ProxyId, ...]:
     """Choose who counts in a zone; all find the same."""
-    return _choose('counters', zone, instances)[:COUNTERS_PER_ZONE]
+    return _choose('counters', zone, instances)[:QUOTA_SERVERS_PER_ZONE]
 
 
 def group_by_zone(
--- a/src/sedgeshunt/membership/topology.py
+++ b/src/sedgeshunt/membership/topology.py
@@ -7,13 +7,13 @@
 
 from sedgeshunt.configuration.objects import Group
 from sedgeshunt.identifiers import GroupId, ProxyId, ZoneId
+from sedgeshunt.membership.readers import plan_readers
 from sedgeshunt.membership.rendezvous import (
-    choose_counters,
+    choose_quota_servers,
     choose_watchers,
-    rank_instances,
     group_by_zone,
+    rank_instances,
 )
-from sedgeshunt.membership.readers import plan_readers
 from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.registry.entries import InstanceEntry
@@ -49,7 +49,8 @@
         self._watchers = _KnownWatchers((), ())
 
     def choose_neighbours(
-        self, instances: Sequence[InstanceEntry]
+        self,
+        instances: Sequence[InstanceEntry],
     ) -> frozenset[ProxyId]:
         """Return the instances to keep in touch with."""
         if len(instances) <= SMALL_FLEET:
@@ -102,7 +103,7 @@
         # others; and counters lend each other what is left.
         if self._configuration.has_customers():
             for zone in group_by_zone(instances):
-                yield from choose_counters(zone, instances)
+                yield from choose_quota_servers(zone, instances)
 
     def _list_partners(
         self,
--- a/src/sedgeshunt/membership/zone_feed.py
+++ b/src/sedgeshunt/membership/zone_feed.py
@@ -6,8 +6,8 @@
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.groups.ranks import weigh
 from sedgeshunt.identifiers import Monotonic, ProxyId, Revision, Seconds
-from sedgeshunt.membership.topology import Topology
 from sedgeshunt.membership.neighbours import Neighbours
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.ownership.lease import StoreWitness
 from sedgeshunt.registry.changes import StoreChanges
 from sedgeshunt.registry.entries import InstanceEntry
--- a/src/sedgeshunt/node_service.py
+++ b/src/sedgeshunt/node_service.py
@@ -9,9 +9,9 @@
 from sedgeshunt.clocks import PROCESS_STARTED_AT, read_clock
 from sedgeshunt.connections.target_session import TargetSessionConnector
 from sedgeshunt.customers.directory import NO_KEY
-from sedgeshunt.customers.gate import CountedGate
-from sedgeshunt.customers.parts import PartCounter
-from sedgeshunt.customers.rights import PartsHeld
+from sedgeshunt.customers.gate import QuotaGate
+from sedgeshunt.customers.part_assignment import HeldParts
+from sedgeshunt.customers.quota_server import QuotaServer
 from sedgeshunt.decisions import DecisionLog
 from sedgeshunt.exceptions import AnswerLost, PlatformUnavailable
 from sedgeshunt.execution.group_access import GroupAccess
@@ -32,13 +32,13 @@
     TrafficClass,
     ZoneId,
 )
-from sedgeshunt.membership.topology import Topology
-from sedgeshunt.membership.counters import BORROW_LIMIT, LinkedCounters
 from sedgeshunt.membership.feed_server import FeedServer
 from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.membership.isolation import IsolationDetector
 from sedgeshunt.membership.neighbours import Neighbours
+from sedgeshunt.membership.quota_links import BORROW_TIMEOUT, PeerQuotaLinks
 from sedgeshunt.membership.registration import StoreViewRegistration
+from sedgeshunt.membership.topology import Topology
 from sedgeshunt.membership.zone_feed import ZoneFeed
 from sedgeshunt.metrics import Metrics
 from sedgeshunt.node_settings import NodeSettings
@@ -117,7 +117,7 @@
             self.entry.incarnation,
         )
         topology = Topology(self.entry, self._configuration, self._records)
-        self._parts = PartsHeld()
+        self._parts = HeldParts()
         made, held = PromisesMade(started_at), PromisesHeld()
         releases = Releases()
         self._heartbeats = Heartbeats(
@@ -176,19 +176,19 @@
         self._feed = ZoneFeed(self.entry, topology, self._neighbours)
         self._view.bind(self._feed)
         self._feeds = FeedServer(self._view, self._lease)
-        self._counters = LinkedCounters(self.entry, self._neighbours)
-        self._counter = PartCounter(
+        self._quota_links = PeerQuotaLinks(self.entry, self._neighbours)
+        self._quota_server = QuotaServer(
             self.entry.name,
-            self._counters,
+            self._quota_links,
             self._parts,
-            BORROW_LIMIT,
+            BORROW_TIMEOUT,
             settings.bounds.customer_slack,
         )
         self._heartbeats.bind(
             self._neighbours,
             self._groups,
             self._feed,
-            self._counters,
+            self._quota_links,
             self._parts,
         )
         owners = OwnerDirectory(
@@ -207,10 +207,10 @@
             decisions,
         )
         self._dispatcher = Dispatcher(owners)
-        self._gate = CountedGate(
+        self._gate = QuotaGate(
             self.entry.name,
-            self._counters,
-            self._counter,
+            self._quota_links,
+            self._quota_server,
             self._configuration.find_limit,
         )
         self._desk = LocalDesk(
@@ -246,7 +246,8 @@
                 self._neighbours.update(tasks)
                 while self._heartbeats.new_instances:
                     self._neighbours.connect(
-                        self._heartbeats.new_instances.pop(), tasks
+                        self._heartbeats.new_instances.pop(),
+                        tasks,
                     )
                 await self._groups.follow(tasks)
 
@@ -395,7 +396,7 @@
         return link is not None and link.reaches_store
 
     def _note_change(self, key: str) -> None:
-        self._counter.follow()
+        self._quota_server.refresh_parts()
         self._groups.changed.set()
         self._heartbeats.owners_changed.notify()
         if key.startswith(OWNERS_PREFIX):
--- a/src/sedgeshunt/platform/targets.py
+++ b/src/sedgeshunt/platform/targets.py
@@ -15,7 +15,7 @@
     TargetSession,
     TargetSessionConnector,
 )
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.exceptions import (
     TargetBusy,
     TargetGone,
@@ -249,7 +249,7 @@
         target: Target,
         group: GroupId,
         limit: Seconds,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
     ) -> TargetSession:
         """Open a session; raise TargetUnreachable or TargetBusy."""
         try:
--- a/src/sedgeshunt/registry/configuration.py
+++ b/src/sedgeshunt/registry/configuration.py
@@ -6,7 +6,7 @@
 from sedgeshunt.clocks import read_boottime
 from sedgeshunt.configuration.objects import Group, Route
 from sedgeshunt.customers.directory import (
-    NOBODY,
+    ANONYMOUS,
     CustomerLimit,
     Identity,
 )
@@ -106,7 +106,7 @@
         customers = declared.customers
         if customers is None:
             return Identity(version=declared.version)
-        holder = customers.find_holder(key)
+        holder = customers.find_customer(key)
         if holder is not None:
             return Identity(holder, key, declared.version)
         if route.allows_anonymous:
@@ -117,12 +117,12 @@
         """Tell whether what is known here leaves a caller its key."""
         declared = self.declared
         customers = declared.customers
-        if customers is None or identity.customer == NOBODY:
+        if customers is None or identity.customer == ANONYMOUS:
             return True
         # Who let it in may know a newer version than this proxy.
         if identity.version > declared.version:
             return True
-        return customers.find_holder(identity.key) == identity.customer
+        return customers.find_customer(identity.key) == identity.customer
 
     def find_limit(self, customer: CustomerId) -> CustomerLimit | None:
         """Return how much a customer may ask, None for all it likes."""
@@ -132,7 +132,7 @@
     def find_part(self, customer: CustomerId) -> float:
         """Return a customer's part of all that customers may ask."""
         customers = self.declared.customers
-        return 0 if customers is None else customers.find_part(customer)
+        return 0 if customers is None else customers.find_rate_share(customer)
 
     def has_customers(self) -> bool:
         """Tell whether callers are told apart by customer."""
--- a/src/sedgeshunt/requests/target_service.py
+++ b/src/sedgeshunt/requests/target_service.py
@@ -108,7 +108,7 @@
                 # quick, and draw more statements to it.
                 permit.cancel()
             else:
-                self.health.note(measured.read_spent(), ok=measured.ok)
+                self.health.note(measured.read_elapsed(), ok=measured.ok)
         return self._name_target(outcome)
 
     async def resize(self, share: int) -> None:
--- a/src/sedgeshunt/statements/dispatch.py
+++ b/src/sedgeshunt/statements/dispatch.py
@@ -12,7 +12,7 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.transactions import TransactionBook
 from sedgeshunt.identifiers import CustomerId, GroupId, Monotonic, Seconds
-from sedgeshunt.limits.holding import find_retry, is_worth_holding
+from sedgeshunt.limits.holding import find_retry_delay, is_worth_holding
 from sedgeshunt.requests.outcome import Answer, Cause, NotRun, Refusal
 from sedgeshunt.statements.call import Access, StatementCall
 from sedgeshunt.statements.sites import CallSite
@@ -210,5 +210,5 @@
     return NotRun(
         Cause.NO_PRIMARY,
         f'group {group} has no owner now',
-        find_retry(expected_at),
+        find_retry_delay(expected_at),
     )
--- a/src/sedgeshunt/statements/owners.py
+++ b/src/sedgeshunt/statements/owners.py
@@ -5,7 +5,7 @@
 from random import random, shuffle
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable
 from sedgeshunt.forwarding.link import PeerLink
@@ -78,7 +78,7 @@
         access = self._groups.get(group)
         if access is None:
             return ()
-        if customer != NOBODY:
+        if customer != ANONYMOUS:
             homes = self._find_homes(access, customer)
             if homes:
                 return homes
--- a/src/sedgeshunt/statements/peer_desk.py
+++ b/src/sedgeshunt/statements/peer_desk.py
@@ -10,8 +10,8 @@
     LogRole,
     TargetSessionConnector,
 )
-from sedgeshunt.customers.counting import Spend, Spent
-from sedgeshunt.customers.gate import CountedGate
+from sedgeshunt.customers.gate import QuotaGate
+from sedgeshunt.customers.quotas import QuotaGrant, QuotaRequest
 from sedgeshunt.exceptions import PlatformUnavailable
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable
@@ -75,7 +75,7 @@
         connector: TargetSessionConnector,
         store: CurrentStore,
         feeds: FeedServer,
-        gate: CountedGate,
+        gate: QuotaGate,
     ) -> None:
         """Work with what this proxy has."""
         self._feeds = feeds
@@ -142,9 +142,9 @@
         except PlatformUnavailable:
             return False
 
-    async def count(self, spend: Spend) -> Spent:
+    async def grant_quota(self, request: QuotaRequest) -> QuotaGrant:
         """Count what a customer wants to begin at a peer."""
-        return await self._gate.answer(spend)
+        return await self._gate.answer(request)
 
     def read_tip(self, group: GroupId) -> Point | None:
         """Return the log end of a group that is owned here."""
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -317,7 +317,7 @@
 @when('all counters but one are cut off from the other proxies')
 def cut_counters(context: Any) -> None:
     bench: NodeBench = context.nodes
-    plan = bench.nodes['east-1'].service._counters.plan()
+    plan = bench.nodes['east-1'].service._quota_links.plan()
     _, *gone = sorted((*plan.near, *plan.far))
     context.rest = [name for name in bench.nodes if name not in gone]
     for one, other in product(gone, context.rest):
--- a/tests/features/steps/entries_steps.py
+++ b/tests/features/steps/entries_steps.py
@@ -187,7 +187,7 @@
         for customer in read.customers.values():
             limit = customer.limit
             assert limit is None or min(limit.per_second, limit.burst) > 0
-            holders = {read.find_holder(key) for key in customer.keys}
+            holders = {read.find_customer(key) for key in customer.keys}
             assert holders <= {customer.name}
         assert _KEY not in repr(read)
 
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -10,13 +10,13 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.forwarding.messages import Heartbeat, HeartbeatReply
 from sedgeshunt.identifiers import GroupId, Incarnation, ProxyId, ZoneId
+from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.membership.readers import (
     RESERVED_CONNECTIONS,
     SMALLEST_SHARE,
     ReaderPlan,
     plan_readers,
 )
-from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.registry.entries import InstanceEntry
 from tests.features.node_bench import GROUP, ZONES, NodeBench
 from tests.features.node_callers import open_bench
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -173,7 +173,9 @@
 def know_many(context: Any, count: int) -> None:
     context.known = [
         KnownPeer(
-            Address(HOST, number), f'p{number}', ZoneId(ZONES[number % 3])
+            Address(HOST, number),
+            f'p{number}',
+            ZoneId(ZONES[number % 3]),
         )
         for number in range(count)
     ]
--- a/tests/standins/statement_group.py
+++ b/tests/standins/statement_group.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.connections.target_session import LogRole, LogStatus
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.groups.orders import (
     PromotionAnswer,
     PromotionOrder,
@@ -55,7 +55,7 @@
     # The connection was inside a transaction.
     is_inside: bool
     # In whose name the connection was opened.
-    customer: CustomerId = NOBODY
+    customer: CustomerId = ANONYMOUS
 
 
 @dataclass(eq=False)
--- a/tests/standins/statement_sessions.py
+++ b/tests/standins/statement_sessions.py
@@ -22,7 +22,7 @@
     TargetSession,
     TargetSessionConnector,
 )
-from sedgeshunt.customers.directory import NOBODY
+from sedgeshunt.customers.directory import ANONYMOUS
 from sedgeshunt.exceptions import (
     TargetBusy,
     TargetGone,
@@ -58,7 +58,7 @@
         group: StatementGroup,
         target: StatementTarget,
         client: Place,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
     ) -> None:
         """Hold one of the database's connections."""
         self.point: Point | None = target.applied_end
@@ -289,7 +289,7 @@
         target: Target,
         group: GroupId,
         limit: Seconds,
-        customer: CustomerId = NOBODY,
+        customer: CustomerId = ANONYMOUS,
     ) -> TargetSession:
         """Open a session; raise TargetUnreachable or TargetBusy."""
         try:
