--- a/src/sedgeshunt/adapters/conversation.py
+++ b/src/sedgeshunt/adapters/conversation.py
@@ -13,7 +13,10 @@
 from sedgeshunt.identifiers import GroupId, Monotonic, TraceId
 from sedgeshunt.requests.attribute_values import Attributes
 from sedgeshunt.requests.attributes import read_attributes
-from sedgeshunt.requests.gate import CallerGate, CallerSession
+from sedgeshunt.requests.caller_session import (
+    CallerSession,
+    CallerSessionFactory,
+)
 from sedgeshunt.requests.outcome import Answer, Refusal
 from sedgeshunt.requests.request import Request, StatementKind
 from sedgeshunt.requests.statements import check_statement, split_first_word
@@ -31,7 +34,7 @@
 
     def __init__(
         self,
-        gate: CallerGate,
+        gate: CallerSessionFactory,
         state: SessionState,
         trace: TraceId,
     ) -> None:
--- a/src/sedgeshunt/adapters/session_state.py
+++ b/src/sedgeshunt/adapters/session_state.py
@@ -14,7 +14,11 @@
 )
 from sedgeshunt.identifiers import GroupId
 from sedgeshunt.requests.attribute_values import ATTRIBUTES, Attributes
-from sedgeshunt.requests.attributes import PREFIX, REQUEST_ID, read_prefixed
+from sedgeshunt.requests.attributes import (
+    PREFIX,
+    REQUEST_ID,
+    read_prefixed_attributes,
+)
 from sedgeshunt.requests.outcome import Refusal, Rejected
 
 OWN_REQUEST_ID = PREFIX + REQUEST_ID
@@ -67,7 +71,7 @@
         # which is then answered and never run.
         if self.own_texts.pop(OWN_REQUEST_ID, None) is None:
             return
-        merged = read_prefixed(self.own_texts, self.connect_defaults)
+        merged = read_prefixed_attributes(self.own_texts, self.connect_defaults)
         self.defaults = merged.unwrap_or(self.defaults)
 
     def _check(
@@ -84,7 +88,7 @@
                 _set_own(texts, setting)
             elif setting.name == AUTOCOMMIT:
                 autocommit = setting.text.lower() not in OFF_WORDS
-        return read_prefixed(texts, self.connect_defaults).map(
+        return read_prefixed_attributes(texts, self.connect_defaults).map(
             lambda defaults: SettingsChange(texts, defaults, autocommit),
         )
 
--- a/src/sedgeshunt/configuration/placement_checks.py
+++ b/src/sedgeshunt/configuration/placement_checks.py
@@ -11,7 +11,7 @@
 )
 from sedgeshunt.configuration.reach import Reach
 from sedgeshunt.configuration.snapshot import Snapshot
-from sedgeshunt.connections.shares import NEWCOMER_CONNECTIONS
+from sedgeshunt.connections.shares import UNSEATED_PROXY_CONNECTIONS
 from sedgeshunt.ports import Address
 
 LAST_PORT = 65535
@@ -81,7 +81,7 @@
 
 
 def _check_limits(group: Group) -> Iterator[Problem]:
-    needed = CONNECTIONS_PER_SEAT * group.seats + NEWCOMER_CONNECTIONS
+    needed = CONNECTIONS_PER_SEAT * group.seats + UNSEATED_PROXY_CONNECTIONS
     if group.connection_limit < needed:
         yield note_error(
             group,
--- a/src/sedgeshunt/connections/idle_sessions.py
+++ b/src/sedgeshunt/connections/idle_sessions.py
@@ -30,7 +30,7 @@
         self.phase = SessionPhase.IDLE
 
     @property
-    def is_fit(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether another caller may use the session."""
         return self.is_clean and self.phase is SessionPhase.IDLE
 
--- a/src/sedgeshunt/connections/pool.py
+++ b/src/sedgeshunt/connections/pool.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from sedgeshunt.connections.turns import TurnQueue
+from sedgeshunt.connections.wait_queue import WaitQueue
 from sedgeshunt.exceptions import (
     TargetBusy,
     TargetLost,
@@ -20,7 +20,7 @@
 UNREACHABLE_RETRY = Seconds(0.2)
 
 
-class Loan:
+class AcquiredConnection:
     """Give one holder the sole use of a connection until it is returned."""
 
     def __init__(
@@ -56,18 +56,18 @@
         self._clean = True
         return answer
 
-    def taint(self) -> None:
+    def invalidate(self) -> None:
         """Mark the connection as unfit to be lent again."""
         self._clean = False
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Return the connection, or close it when its state is in doubt."""
         if self._returned:
             return
         self._returned = True
-        await self._pool.take_back(self._connection, is_clean=self._clean)
+        await self._pool.take_released(self._connection, is_clean=self._clean)
 
-    async def __aenter__(self) -> 'Loan':
+    async def __aenter__(self) -> 'AcquiredConnection':
         """Enter the use of the connection."""
         return self
 
@@ -78,7 +78,7 @@
         trace: TracebackType | None,
     ) -> None:
         """Return the connection."""
-        await self.give_back()
+        await self.release()
 
 
 class TargetPool:
@@ -100,20 +100,22 @@
         self._group = group
         self._idle: list[TargetConnection] = []
         self._open = 0
-        self._turns = TurnQueue()
+        self._turns = WaitQueue()
         self._closed = False
 
-    def take_idle(self) -> Loan | None:
+    def acquire_idle(self) -> AcquiredConnection | None:
         """Lend an idle connection if there is one and nobody waits."""
         if self._turns or not self._idle:
             return None
-        return Loan(self, self._idle.pop())
+        return AcquiredConnection(self, self._idle.pop())
 
-    async def lend(self, deadline: Monotonic) -> Result[Loan, NotRun]:
+    async def acquire(
+        self, deadline: Monotonic
+    ) -> Result[AcquiredConnection, NotRun]:
         """Lend a connection, waiting for one until `deadline` at most."""
         try:
             async with timeout_at(deadline):
-                return Ok(await self._lend())
+                return Ok(await self._acquire())
         except TimeoutError:
             return Err(self._refuse(Cause.DEADLINE, 'no connection was free'))
         except TargetBusy as busy:
@@ -124,7 +126,7 @@
                 NotRun(Cause.CONNECTION_LOST, reason, UNREACHABLE_RETRY),
             )
 
-    async def take_back(
+    async def take_released(
         self,
         connection: TargetConnection,
         *,
@@ -165,12 +167,12 @@
     def _refuse(self, cause: Cause, reason: str) -> NotRun:
         return NotRun(cause, f'target {self.target}: {reason}', BUSY_RETRY)
 
-    async def _lend(self) -> Loan:
+    async def _acquire(self) -> AcquiredConnection:
         while True:
             if self._idle:
-                return Loan(self, self._idle.pop())
+                return AcquiredConnection(self, self._idle.pop())
             if self._open < self.share:
-                return Loan(self, await self._connect())
+                return AcquiredConnection(self, await self._connect())
             await self._turns.wait()
 
     async def _connect(self) -> TargetConnection:
--- a/src/sedgeshunt/connections/session_pool.py
+++ b/src/sedgeshunt/connections/session_pool.py
@@ -23,7 +23,7 @@
     TargetSession,
     TargetSessionConnector,
 )
-from sedgeshunt.connections.turns import TurnQueue
+from sedgeshunt.connections.wait_queue import WaitQueue
 from sedgeshunt.customers.directory import NOBODY
 from sedgeshunt.exceptions import TargetBusy, TargetUnreachable
 from sedgeshunt.groups.points import Point
@@ -33,7 +33,7 @@
 
 # A new connection takes 12 ms and waits for a slot; more than this is a
 # target that does not answer.
-CONNECT_LIMIT = Seconds(0.4)
+CONNECT_TIMEOUT = Seconds(0.4)
 # Share of the time left that may go by before a connection is lent, as for a
 # place at the target (limits/admission.py): what waits longer comes too late.
 SHARE_FOR_WAIT = 0.5
@@ -47,7 +47,7 @@
 UNREACHABLE_RETRY = Seconds(0.2)
 
 
-class SessionLoan:
+class AcquiredSession:
     """Give one holder the sole use of a session until it is returned."""
 
     def __init__(
@@ -64,13 +64,13 @@
         self._pool = pool
         self._is_returned = False
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Return the session, or close it when its state is in doubt."""
         if not self._is_returned:
             self._is_returned = True
-            await self._pool.take_back(self)
+            await self._pool.take_released(self)
 
-    async def __aenter__(self) -> 'SessionLoan':
+    async def __aenter__(self) -> 'AcquiredSession':
         """Enter the use of the session."""
         return self
 
@@ -81,17 +81,17 @@
         trace: TracebackType | None,
     ) -> None:
         """Return the session."""
-        await self.give_back()
+        await self.release()
 
 
-class LifeCheck(ABC):
+class LogCheck(ABC):
     """Know whether a target has kept its log."""
 
     # The newest end of the target's log that its answers showed.
     shown: Point | None
 
     @abstractmethod
-    def check_life(self, seen: Point | None, session: TargetSession) -> bool:
+    def has_kept_log(self, seen: Point | None, session: TargetSession) -> bool:
         """Tell whether a new session's log has what was `seen` before it."""
 
 
@@ -104,7 +104,7 @@
         target: Target,
         share: int,
         at_once: int,
-        life: LifeCheck,
+        life: LogCheck,
     ) -> None:
         """Open no connection before the first loan."""
         self.target = target
@@ -123,7 +123,7 @@
         self._connector = connector
         self._idle = IdleSessions()
         self._open = 0
-        self._turns = TurnQueue()
+        self._turns = WaitQueue()
         # Connections that each customer's calls have now.
         self._lent_to: Counter[CustomerId] = Counter()
         # Connections that were opened, since the pool was made.
@@ -139,7 +139,7 @@
         return self._open
 
     @property
-    def lent_count(self) -> int:
+    def acquired_count(self) -> int:
         """Count the connections that are lent or being opened."""
         return self._open - len(self._idle)
 
@@ -158,7 +158,7 @@
         usual = self._holding[is_transaction].value
         return Seconds(ahead * usual / max(1, hands))
 
-    async def lend(
+    async def acquire(
         self,
         values: Mapping[str, str],
         deadline: Monotonic,
@@ -166,7 +166,7 @@
         customer: CustomerId = NOBODY,
         is_transaction: bool = False,
         due: Monotonic | None = None,
-    ) -> Result[SessionLoan, NotRun]:
+    ) -> Result[AcquiredSession, NotRun]:
         """Lend a customer's session, best one with `values`.
 
         Refuse at once where the answer could not be there when it is `due`.
@@ -179,7 +179,7 @@
         came_at = read_clock()
         try:
             async with timeout_at(deadline):
-                loan = await self._lend(values, customer, is_transaction)
+                loan = await self._acquire(values, customer, is_transaction)
             self.wait.add(read_clock() - came_at)
             return Ok(loan)
         except TimeoutError:
@@ -197,7 +197,7 @@
                 ),
             )
 
-    async def take_back(self, loan: SessionLoan) -> None:
+    async def take_released(self, loan: AcquiredSession) -> None:
         """Keep a clean session within the share, close any other."""
         session = loan.session
         self._in_transactions -= loan.is_transaction
@@ -205,7 +205,9 @@
         held = read_clock() - loan.lent_at
         self._holding[loan.is_transaction].add(held)
         keep = (
-            session.is_fit and not self._is_closed and self._open <= self.share
+            session.is_reusable
+            and not self._is_closed
+            and self._open <= self.share
         )
         if keep:
             self._idle.add(session)
@@ -256,12 +258,12 @@
         after = Seconds(max(BUSY_RETRY, retry))
         return NotRun(cause, f'target {name}: {reason}', after, name)
 
-    async def _lend(
+    async def _acquire(
         self,
         values: Mapping[str, str],
         customer: CustomerId,
         is_transaction: bool,
-    ) -> SessionLoan:
+    ) -> AcquiredSession:
         while True:
             await self._wait_room(is_transaction, customer)
             # Counted before it is opened: two callers at once would otherwise
@@ -279,7 +281,9 @@
                 raise
             else:
                 self._lent_to[customer] += 1
-                return SessionLoan(self, session, is_transaction=is_transaction)
+                return AcquiredSession(
+                    self, session, is_transaction=is_transaction
+                )
 
     async def _wait_room(
         self,
@@ -343,7 +347,7 @@
             self._connector.connect(
                 self.target,
                 self.target.group,
-                CONNECT_LIMIT,
+                CONNECT_TIMEOUT,
                 customer,
             ),
         )
@@ -351,7 +355,7 @@
         seen = self._life.shown
         try:
             connection = await opening
-            if not self._life.check_life(seen, connection):
+            if not self._life.has_kept_log(seen, connection):
                 await connection.close()
                 raise TargetUnreachable(self.target.name, 'it has lost its log')
             return PooledSession(connection, customer)
--- a/src/sedgeshunt/connections/shares.py
+++ b/src/sedgeshunt/connections/shares.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 # Connections of a proxy that holds no seat: one for control, one for work.
-NEWCOMER_CONNECTIONS = 2
+UNSEATED_PROXY_CONNECTIONS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,5 +19,5 @@
     # Each seated proxy also keeps one control connection, and room is left
     # for one newcomer, so that a replaced instance can serve at once, before
     # the seat of the one it replaces has lapsed.
-    usable = connection_limit - seats - NEWCOMER_CONNECTIONS
+    usable = connection_limit - seats - UNSEATED_PROXY_CONNECTIONS
     return Share(seated=max(1, usable // max(1, seats)))
--- a/src/sedgeshunt/connections/turns.py
+++ b/src/sedgeshunt/connections/wait_queue.py
@@ -11,7 +11,7 @@
 Measure = Callable[[], int]
 
 
-class _Waiting(Struct, frozen=True, eq=False):
+class _Waiter(Struct, frozen=True, eq=False):
     """Hold one who waits."""
 
     turn: 'Future[None]'
@@ -27,12 +27,12 @@
     return 0
 
 
-class TurnQueue:
+class WaitQueue:
     """Hold those who wait, and wake one at a time."""
 
     def __init__(self) -> None:
         """Start with nobody."""
-        self._waiters: deque[_Waiting] = deque()
+        self._waiters: deque[_Waiter] = deque()
 
     def __bool__(self) -> bool:
         """Tell whether anybody waits."""
@@ -53,7 +53,7 @@
     ) -> None:
         """Wait until woken, which happens only while `is_ready`."""
         turn: Future[None] = get_running_loop().create_future()
-        waiting = _Waiting(turn, is_ready, measure)
+        waiting = _Waiter(turn, is_ready, measure)
         self._waiters.append(waiting)
         try:
             await turn
@@ -85,10 +85,10 @@
             if not turn.done():
                 turn.set_result(None)
 
-    def _forget(self, waiting: _Waiting) -> None:
+    def _forget(self, waiting: _Waiter) -> None:
         if waiting in self._waiters:
             self._waiters.remove(waiting)
 
 
-def _measure(waiting: _Waiting) -> int:
+def _measure(waiting: _Waiter) -> int:
     return waiting.measure()
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -9,8 +9,8 @@
 from sedgeshunt.configuration.objects import Target
 from sedgeshunt.connections.idle_sessions import PooledSession
 from sedgeshunt.connections.session_pool import (
-    LifeCheck,
-    SessionLoan,
+    AcquiredSession,
+    LogCheck,
     SessionPool,
 )
 from sedgeshunt.connections.target_session import (
@@ -62,7 +62,7 @@
 }
 
 
-class TargetExecutor(LifeCheck, TransactionPlace):
+class TargetExecutor(LogCheck, TransactionPlace):
     """Own the sessions with one target and the queue before it."""
 
     def __init__(
@@ -140,10 +140,10 @@
         deadline: Monotonic,
         *,
         is_transaction: bool = False,
-    ) -> Result[SessionLoan, NotRun]:
+    ) -> Result[AcquiredSession, NotRun]:
         """Lend a session for a call, or refuse it as too many wait."""
         came_at = read_clock()
-        lent = await self.pool.lend(
+        lent = await self.pool.acquire(
             call.values,
             deadline,
             customer=call.identity.customer,
@@ -159,7 +159,7 @@
 
     async def run_inside(
         self,
-        loan: SessionLoan,
+        loan: AcquiredSession,
         call: StatementCall,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
@@ -237,7 +237,7 @@
 
     async def _run_on(
         self,
-        loan: SessionLoan,
+        loan: AcquiredSession,
         call: StatementCall,
         deadline: Monotonic,
         after: Point | None,
@@ -270,7 +270,7 @@
 
     async def begin(
         self,
-        loan: SessionLoan,
+        loan: AcquiredSession,
         *,
         is_read_only: bool,
         deadline: Monotonic,
@@ -288,7 +288,9 @@
             return reply
         return self._explain(reply.ok_value)
 
-    async def roll_back(self, loan: SessionLoan, deadline: Monotonic) -> None:
+    async def roll_back(
+        self, loan: AcquiredSession, deadline: Monotonic
+    ) -> None:
         """Undo a lent session's transaction; it stays in doubt if it fails."""
         await self.ask(
             loan.session,
@@ -329,7 +331,7 @@
         self._note_answer(reply)
         return Ok(reply)
 
-    def check_life(self, seen: Point | None, session: TargetSession) -> bool:
+    def has_kept_log(self, seen: Point | None, session: TargetSession) -> bool:
         """Tell whether a new session's log has what was `seen` before it."""
         if not self._is_primary or not is_behind(session.point, seen):
             return True
@@ -355,7 +357,7 @@
 
     def is_busy(self) -> bool:
         """Tell whether anything is under way at the target."""
-        return bool(self.transactions) or self.pool.lent_count > 0
+        return bool(self.transactions) or self.pool.acquired_count > 0
 
     async def end_idle(self, limit: Seconds) -> None:
         """Undo the transactions without a statement for `limit`."""
--- a/src/sedgeshunt/execution/transactions.py
+++ b/src/sedgeshunt/execution/transactions.py
@@ -6,7 +6,7 @@
 from result import Result
 
 from sedgeshunt.clocks import read_clock
-from sedgeshunt.connections.session_pool import SessionLoan
+from sedgeshunt.connections.session_pool import AcquiredSession
 from sedgeshunt.identifiers import Monotonic, Seconds, TransactionId
 from sedgeshunt.requests.outcome import Answer, Refusal
 from sedgeshunt.statements.call import StatementCall
@@ -27,14 +27,16 @@
     @abstractmethod
     async def run_inside(
         self,
-        loan: SessionLoan,
+        loan: AcquiredSession,
         call: StatementCall,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run one statement of the transaction that is open on `loan`."""
 
     @abstractmethod
-    async def roll_back(self, loan: SessionLoan, deadline: Monotonic) -> None:
+    async def roll_back(
+        self, loan: AcquiredSession, deadline: Monotonic
+    ) -> None:
         """Undo a lent session's transaction; it stays in doubt if it fails."""
 
 
@@ -43,7 +45,7 @@
 
     id: TransactionId
     executor: TransactionPlace
-    loan: SessionLoan
+    loan: AcquiredSession
     used_at: Monotonic
     # It runs at the primary, which only the group's owner may use.
     is_at_primary: bool = False
@@ -53,7 +55,7 @@
     async def end(self) -> None:
         """Return the session; one in doubt is closed and so undone."""
         self.executor.transactions.discard(self)
-        await self.loan.give_back()
+        await self.loan.release()
 
     async def abort(self) -> None:
         """Undo it at once by closing its connection."""
--- a/src/sedgeshunt/group_runtime.py
+++ b/src/sedgeshunt/group_runtime.py
@@ -39,7 +39,7 @@
             owned.push_async_callback(self.service.close)
             await owned.enter_async_context(self._keeper)
             tasks = await owned.enter_async_context(TaskGroup())
-            following = tasks.create_task(self.service.follow_replicas())
+            following = tasks.create_task(self.service.track_replica_lag())
             owned.callback(following.cancel)
             await self.service.watch_targets(self.refresh)
 
@@ -57,7 +57,7 @@
             self._tell(marked)
 
     def _tell(self, targets: list[Target]) -> None:
-        self.service.note_targets(targets)
+        self.service.replace_targets(targets)
         self._keeper.set_targets(targets, self._list_proxies())
 
     def _mark_leaving(self) -> list[Target]:
--- a/src/sedgeshunt/proxy.py
+++ b/src/sedgeshunt/proxy.py
@@ -37,7 +37,10 @@
     ProxyReport,
     TargetConnector,
 )
-from sedgeshunt.requests.gate import CallerGate, CallerSession
+from sedgeshunt.requests.caller_session import (
+    CallerSession,
+    CallerSessionFactory,
+)
 from sedgeshunt.requests.handler import RefusingSession, RequestHandler
 from sedgeshunt.requests.recorder import OutcomeRecorder
 from sedgeshunt.served_groups import GroupParts, ServedGroups
@@ -46,7 +49,7 @@
 from sedgeshunt.settings import Settings
 
 
-class ProxyInstance(CallerGate, PeerService):
+class ProxyInstance(CallerSessionFactory, PeerService):
     """Serve callers, peers and operators on one instance."""
 
     def __init__(
--- a/src/sedgeshunt/requests/attributes.py
+++ b/src/sedgeshunt/requests/attributes.py
@@ -51,7 +51,7 @@
     )
 
 
-def read_prefixed(
+def read_prefixed_attributes(
     given: Mapping[str, object],
     defaults: Attributes,
 ) -> Result[Attributes, NotRun]:
@@ -74,7 +74,7 @@
             + 'one id; send it with each request'
         )
         return Err(NotRun(Cause.ATTRIBUTE, reason))
-    return read_prefixed(given, Attributes())
+    return read_prefixed_attributes(given, Attributes())
 
 
 def read_comments(sql: str) -> Result[Mapping[str, object], NotRun]:
--- a/src/sedgeshunt/requests/gate.py
+++ b/src/sedgeshunt/requests/caller_session.py
@@ -41,7 +41,7 @@
         return DEFAULT_DEADLINE
 
 
-class CallerGate(ABC):
+class CallerSessionFactory(ABC):
     """Let callers in."""
 
     @abstractmethod
--- a/src/sedgeshunt/requests/confirmation.py
+++ b/src/sedgeshunt/requests/confirmation.py
@@ -37,7 +37,7 @@
             ),
         )
 
-    async def read_tip(
+    async def read_log_end(
         self,
         service: TargetService,
         request: Request,
@@ -46,7 +46,7 @@
         """Return the target's log end, None unless it leads in `term`."""
         if term is None:
             return None
-        return await self.service.read_tip(
+        return await self.service.read_log_end(
             service.target.name,
             term,
             request.deadline,
--- a/src/sedgeshunt/requests/group_service.py
+++ b/src/sedgeshunt/requests/group_service.py
@@ -99,14 +99,14 @@
         finally:
             self._waiting_writes -= 1
 
-    def find_leading_term(self, target: TargetId) -> Term | None:
+    def find_primary_term(self, target: TargetId) -> Term | None:
         """Return the term in which the target is known to lead."""
         status = self.view.get_status(target)
         if status is None or status.role is not Role.PRIMARY:
             return None
         return status.fencing_term
 
-    async def read_tip(
+    async def read_log_end(
         self,
         target: TargetId,
         term: Term,
@@ -120,7 +120,7 @@
         while read_clock() < deadline:
             seen = self.view.get_observation(target)
             if seen is not None and seen.asked_at >= since:
-                is_leading = self.find_leading_term(target) == term
+                is_leading = self.find_primary_term(target) == term
                 return seen.status.log_end if is_leading else None
             self.view.request_fresh()
             await self.view.wait_change(deadline)
@@ -133,7 +133,7 @@
         await sleep(RETRY_PAUSE)
         return read_clock() < deadline
 
-    def note_targets(self, targets: list[Target]) -> None:
+    def replace_targets(self, targets: list[Target]) -> None:
         """Take the targets with what is known of their leaving."""
         self.targets = targets
         for target in targets:
@@ -183,7 +183,7 @@
         """Tell whether a target holds all that a read has to see."""
         return meets_need(self.view, service.target.name, need, now)
 
-    def find_patience(
+    def find_replica_wait(
         self,
         ranking: Ranking,
         need: ReadNeed,
@@ -206,26 +206,26 @@
             primary_wait,
         )
 
-    def is_heard(self, target: TargetId) -> bool:
+    def is_target_reachable(self, target: TargetId) -> bool:
         """Tell whether the target answers at this moment."""
         return self.view.is_heard(target, read_clock())
 
     async def watch_targets(self, refresh: Callable[[], None]) -> None:
         """End waits on targets that are gone, until cancelled."""
-        was_heard: dict[TargetId, bool] = {}
+        was_reachable: dict[TargetId, bool] = {}
         while True:
             refresh()
             for name, service in tuple(self.services.items()):
-                is_heard = self.is_heard(name)
-                if is_heard:
-                    service.note_heard()
-                elif was_heard.get(name):
-                    service.note_gone()
+                is_reachable = self.is_target_reachable(name)
+                if is_reachable:
+                    service.mark_reachable()
+                elif was_reachable.get(name):
+                    service.mark_unreachable()
                     await service.pool.drop_idle()
-                was_heard[name] = is_heard
+                was_reachable[name] = is_reachable
             await sleep(CHECK_EVERY)
 
-    async def follow_replicas(self) -> None:
+    async def track_replica_lag(self) -> None:
         """Learn how far replicas lag, until cancelled."""
         await self.catch_up.watch(self.view, lambda: self.services)
 
--- a/src/sedgeshunt/requests/handler.py
+++ b/src/sedgeshunt/requests/handler.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.identifiers import GroupId, Seconds, TrafficClass
-from sedgeshunt.requests.gate import CallerSession
+from sedgeshunt.requests.caller_session import CallerSession
 from sedgeshunt.requests.group_service import GroupService
 from sedgeshunt.requests.outcome import (
     Answer,
@@ -117,7 +117,7 @@
         verified = self._keys.verify(request.token)
         if isinstance(verified, Err):
             return verified.err_value
-        self._session.merge_token(verified.ok_value)
+        self._session.merge_points(verified.ok_value)
         return None
 
     async def _run_single(self, request: Request) -> Result[Answer, Refusal]:
@@ -158,7 +158,7 @@
         outcome: Result[Answer, Refusal],
     ) -> Result[Answer, Refusal]:
         if isinstance(outcome.err(), Unknown):
-            self._session.note_unknown(self.group, read_clock())
+            self._session.note_unknown_write(self.group, read_clock())
         if isinstance(outcome, Err):
             return outcome
         answer = outcome.ok_value
--- a/src/sedgeshunt/requests/reads.py
+++ b/src/sedgeshunt/requests/reads.py
@@ -114,7 +114,9 @@
             barrier = await self._wait_barrier(request, session)
             if isinstance(barrier, Err):
                 return barrier
-        return Ok(ReadNeed(point=session.need_for(group), accepted_age=age))
+        return Ok(
+            ReadNeed(point=session.get_required_point(group), accepted_age=age)
+        )
 
     async def _wait_barrier(
         self,
@@ -125,12 +127,12 @@
         if not view.hears_majority():
             return Err(self._refuse_stale('no majority of targets answers'))
         point = await view.wait_barrier(
-            session.barrier_since(self.service.name),
+            session.get_barrier_start(self.service.name),
             request.deadline,
         )
         if point is None:
             return Err(self._refuse_stale('no majority of targets answered'))
-        session.settle_barrier(self.service.name, point)
+        session.complete_barrier(self.service.name, point)
         return Ok(None)
 
     async def _find_target(
@@ -164,7 +166,7 @@
                 await self._wait_change(request.deadline)
                 continue
             if waits_until is None:
-                wait = self.service.find_patience(
+                wait = self.service.find_replica_wait(
                     ranking,
                     need,
                     request.deadline,
--- a/src/sedgeshunt/requests/request_ids.py
+++ b/src/sedgeshunt/requests/request_ids.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok, Result
 
-from sedgeshunt.connections.pool import Loan
+from sedgeshunt.connections.pool import AcquiredConnection
 from sedgeshunt.identifiers import RequestId, Seconds, Term
 from sedgeshunt.requests.confirmation import Confirmation
 from sedgeshunt.requests.group_service import GroupService
@@ -38,7 +38,7 @@
     async def record(
         self,
         service: TargetService,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
         answer: Answer,
     ) -> Result[Answer, Refusal]:
@@ -58,7 +58,7 @@
     async def recall(
         self,
         service: TargetService,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
         request_id: RequestId,
     ) -> Result[Answer, Refusal] | None:
@@ -66,7 +66,7 @@
         # A superseded primary may still hold a first run that its group has
         # dropped, and follow the new one a moment later. Its log end counts
         # only while it leads in the term in which the row was seen.
-        term = self.service.find_leading_term(service.target.name)
+        term = self.service.find_primary_term(service.target.name)
         found = await service.run_on(
             loan,
             request,
@@ -93,7 +93,7 @@
     ) -> Result[Answer, Refusal]:
         # The earlier run may not be durable yet: its place in the log is at
         # or before the primary's end as read after the row was seen.
-        tip = await self.confirmation.read_tip(service, request, term)
+        tip = await self.confirmation.read_log_end(service, request, term)
         if tip is None:
             return Err(
                 Unknown(Cause.NOT_DURABLE, 'the first run is not confirmed'),
@@ -117,7 +117,7 @@
         if isinstance(found, Err):
             return Err(unsure)
         target = found.ok_value
-        lent = await target.lend(request)
+        lent = await target.acquire(request)
         if isinstance(lent, Err):
             return Err(unsure)
         async with lent.ok_value as loan:
@@ -126,11 +126,11 @@
     async def _probe(
         self,
         target: TargetService,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
         unsure: Unknown,
     ) -> Result[Answer, Refusal]:
-        term = self.service.find_leading_term(target.target.name)
+        term = self.service.find_primary_term(target.target.name)
         begun = await target.run_on(loan, request, 'BEGIN')
         if isinstance(begun, Err):
             return Err(unsure)
@@ -139,7 +139,7 @@
         probe = await self.record(target, loan, request, Answer())
         undone = await target.run_on(loan, request, 'ROLLBACK')
         if isinstance(undone, Err):
-            loan.taint()
+            loan.invalidate()
             return Err(unsure)
         if isinstance(probe, Ok):
             return Err(await self._prove_undone(target, request, unsure, term))
@@ -164,7 +164,7 @@
         # leaves the choice to logs of the earlier term, and the transaction
         # may come back with them. Once a majority holds this primary's log
         # it can't, and only then is "not run" true.
-        tip = await self.confirmation.read_tip(target, request, term)
+        tip = await self.confirmation.read_log_end(target, request, term)
         if tip is None:
             return unsure
         if not await self.service.view.wait_durable(tip, request.deadline):
--- a/src/sedgeshunt/requests/target_service.py
+++ b/src/sedgeshunt/requests/target_service.py
@@ -9,7 +9,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.configuration.objects import Route, Target
-from sedgeshunt.connections.pool import Loan, TargetPool
+from sedgeshunt.connections.pool import AcquiredConnection, TargetPool
 from sedgeshunt.exceptions import (
     TargetGone,
     TargetLost,
@@ -52,11 +52,11 @@
         self._is_gone = False
         self._in_flight: set[Timeout] = set()
 
-    def note_heard(self) -> None:
+    def mark_reachable(self) -> None:
         """Take in that the target answers."""
         self._is_gone = False
 
-    def note_gone(self) -> None:
+    def mark_unreachable(self) -> None:
         """End every wait for a target that stopped answering."""
         self._is_gone = True
         # A frozen target breaks no connection, so its callers would wait
@@ -116,22 +116,24 @@
         self.admission.resize(share)
         await self.pool.resize(share)
 
-    async def lend(self, request: Request) -> Result[Loan, NotRun]:
+    async def acquire(
+        self, request: Request
+    ) -> Result[AcquiredConnection, NotRun]:
         """Lend a connection, unless the target is gone."""
         if self._is_gone:
             return Err(self._refuse_gone())
-        idle = self.pool.take_idle()
+        idle = self.pool.acquire_idle()
         if idle is not None:
             return Ok(idle)
         try:
             async with self._watch(request):
-                return await self.pool.lend(request.deadline)
+                return await self.pool.acquire(request.deadline)
         except TimeoutError:
             return Err(self._refuse_gone())
 
     async def run_on(
         self,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
         sql: str,
     ) -> Result[Answer, Refusal]:
@@ -155,7 +157,7 @@
         request: Request,
         still_serves: Check | None,
     ) -> Result[Answer, Refusal]:
-        lent = await self.lend(request)
+        lent = await self.acquire(request)
         if isinstance(lent, Err):
             return lent
         async with lent.ok_value as loan:
@@ -163,7 +165,9 @@
                 return Err(self._refuse_stale())
             return await self.run_on(loan, request, request.sql)
 
-    async def _execute(self, loan: Loan, request: Request, sql: str) -> Answer:
+    async def _execute(
+        self, loan: AcquiredConnection, request: Request, sql: str
+    ) -> Answer:
         async with self._watch(request):
             return await loan.execute(sql)
 
--- a/src/sedgeshunt/requests/transaction.py
+++ b/src/sedgeshunt/requests/transaction.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from sedgeshunt.configuration.objects import Route
-from sedgeshunt.connections.pool import Loan
+from sedgeshunt.connections.pool import AcquiredConnection
 from sedgeshunt.identifiers import RequestId, Seconds
 from sedgeshunt.requests.confirmation import Confirmation
 from sedgeshunt.requests.group_service import GroupService
@@ -47,7 +47,7 @@
         self._confirmation = Confirmation(service)
         self._ids = RequestIds(service, self._confirmation)
         self._owned = AsyncExitStack()
-        self._loan: Loan | None = None
+        self._loan: AcquiredConnection | None = None
         self._target: TargetService | None = None
         self._request_id: RequestId | None = None
 
@@ -68,7 +68,7 @@
         if self._is_undone(refusal):
             # Going on would run the rest outside the transaction, as single
             # statements that commit by themselves.
-            await self._lose()
+            await self._mark_lost()
             return Err(_describe_loss(refusal))
         return outcome
 
@@ -95,7 +95,7 @@
         if loan is not None and target is not None:
             ended = await target.run_on(loan, request, 'ROLLBACK')
             if isinstance(ended, Err):
-                loan.taint()
+                loan.invalidate()
         self.state = TransactionState.ENDED
         await self.abandon()
         return Ok(Answer())
@@ -105,7 +105,7 @@
         # A connection with an open transaction must not be lent again: the
         # next caller's statements would be committed or undone with it.
         if self._loan is not None and self.state is not TransactionState.ENDED:
-            self._loan.taint()
+            self._loan.invalidate()
         self.state = TransactionState.ENDED
         self._loan = None
         self._target = None
@@ -118,13 +118,13 @@
         if isinstance(found, Err):
             return found
         target = found.ok_value
-        lent = await target.lend(request)
+        lent = await target.acquire(request)
         if isinstance(lent, Err):
             return lent
         loan = await self._owned.enter_async_context(lent.ok_value)
         begun = await target.run_on(loan, request, 'BEGIN')
         if isinstance(begun, Err):
-            loan.taint()
+            loan.invalidate()
             await self._owned.aclose()
             return Err(_describe_loss(begun.err_value))
         self._loan = loan
@@ -191,7 +191,7 @@
     async def _explain(
         self,
         target: TargetService,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
         recorded: Err[Refusal],
     ) -> Result[Answer, Refusal]:
@@ -219,9 +219,9 @@
             return False
         return refusal.cause is Cause.SUPERSEDED
 
-    async def _lose(self) -> None:
+    async def _mark_lost(self) -> None:
         if self._loan is not None:
-            self._loan.taint()
+            self._loan.invalidate()
         self._loan = None
         self._target = None
         await self._owned.aclose()
--- a/src/sedgeshunt/requests/writes.py
+++ b/src/sedgeshunt/requests/writes.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.configuration.objects import Route
-from sedgeshunt.connections.pool import Loan
+from sedgeshunt.connections.pool import AcquiredConnection
 from sedgeshunt.requests.confirmation import Confirmation
 from sedgeshunt.requests.group_service import GroupService
 from sedgeshunt.requests.outcome import (
@@ -92,7 +92,7 @@
         if isinstance(admitted, Err):
             return admitted
         with admitted.ok_value.measure() as measured:
-            lent = await service.lend(request)
+            lent = await service.acquire(request)
             if isinstance(lent, Err):
                 return lent
             async with lent.ok_value as loan:
@@ -103,7 +103,7 @@
     async def _run_transaction(
         self,
         service: TargetService,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
     ) -> Result[Answer, Refusal]:
         begun = await service.run_on(loan, request, 'BEGIN')
@@ -135,7 +135,7 @@
     async def _undo(
         self,
         service: TargetService,
-        loan: Loan,
+        loan: AcquiredConnection,
         request: Request,
         refusal: Refusal,
     ) -> Result[Answer, Refusal]:
@@ -146,7 +146,7 @@
             return Err(_note_not_run(refusal))
         rolled_back = await service.run_on(loan, request, 'ROLLBACK')
         if isinstance(rolled_back, Err):
-            loan.taint()
+            loan.invalidate()
             return Err(_note_not_run(refusal))
         if isinstance(refusal, Rejected) and request.request_id:
             # A repeat meets its own first run in the caller's unique keys
--- a/src/sedgeshunt/sessions/session.py
+++ b/src/sedgeshunt/sessions/session.py
@@ -25,18 +25,18 @@
         """Demand that later reads see an acknowledged write."""
         self._advance(group, point)
 
-    def note_unknown(self, group: GroupId, now: Monotonic) -> None:
+    def note_unknown_write(self, group: GroupId, now: Monotonic) -> None:
         """Demand a new barrier after a write whose outcome is unknown."""
         # The caller is told to look with a read. A replica that lags would
         # show it the state before its write, and it would write again.
         self._unsure[group] = now
 
-    def merge_token(self, points: Mapping[GroupId, Point]) -> None:
+    def merge_points(self, points: Mapping[GroupId, Point]) -> None:
         """Take in the points of a verified token."""
         for group, point in points.items():
             self._advance(group, point)
 
-    def need_for(self, group: GroupId) -> Point | None:
+    def get_required_point(self, group: GroupId) -> Point | None:
         """Return the point that a read has to cover."""
         return self._points.get(group)
 
@@ -46,11 +46,11 @@
         # for the token's size, or written before the first token was issued.
         return group not in self._points or group in self._unsure
 
-    def barrier_since(self, group: GroupId) -> Monotonic:
+    def get_barrier_start(self, group: GroupId) -> Monotonic:
         """Return the moment after which the watermark is to be taken."""
         return self._unsure.get(group, self.opened_at)
 
-    def settle_barrier(self, group: GroupId, point: Point) -> None:
+    def complete_barrier(self, group: GroupId, point: Point) -> None:
         """Keep the watermark as the group's point."""
         self._unsure.pop(group, None)
         self._advance(group, point)
--- a/tests/features/driver_bench.py
+++ b/tests/features/driver_bench.py
@@ -19,7 +19,10 @@
 from sedgeshunt.adapters.callers import CallerServer
 from sedgeshunt.identifiers import GroupId, Seconds, TraceId
 from sedgeshunt.ports import Address
-from sedgeshunt.requests.gate import CallerGate, CallerSession
+from sedgeshunt.requests.caller_session import (
+    CallerSession,
+    CallerSessionFactory,
+)
 from sedgeshunt.requests.outcome import (
     Answer,
     Cause,
@@ -95,7 +98,7 @@
         self.is_open = False
 
 
-class SmallGate(CallerGate):
+class SmallGate(CallerSessionFactory):
     """Open small sessions and keep them."""
 
     def __init__(self) -> None:
--- a/tests/features/promise_safeguards.py
+++ b/tests/features/promise_safeguards.py
@@ -11,7 +11,7 @@
 from sedgeshunt.configuration.objects import Target
 from sedgeshunt.configuration.settling import Settler
 from sedgeshunt.configuration.store import read_listing
-from sedgeshunt.connections.pool import Loan, TargetPool
+from sedgeshunt.connections.pool import AcquiredConnection, TargetPool
 from sedgeshunt.connections.seats import SeatHolder
 from sedgeshunt.groups import promoter
 from sedgeshunt.groups.points import Point
@@ -29,7 +29,7 @@
 from tests.standins.platform import MemoryKeyValue
 
 Change = tuple[Any, str, Any]
-TAKE_BACK = TargetPool.take_back
+TAKE_RELEASED = TargetPool.take_released
 COMMIT = MemoryKeyValue.commit
 STOP_PROXY = Deployment.stop_proxy
 MEASURE_AGE = GroupView.measure_age
@@ -56,7 +56,7 @@
 
 
 async def _keep_dirty(pool: TargetPool, connection: Any, **_: object) -> None:
-    await TAKE_BACK(pool, connection, is_clean=True)
+    await TAKE_RELEASED(pool, connection, is_clean=True)
 
 
 async def _begin_anew(transaction: Transaction) -> None:
@@ -114,13 +114,15 @@
     'covered point': ((GroupView, 'covers', _say_yes),),
     'term order': ((Point, 'is_covered_by', _compare_positions),),
     'barrier': ((SessionState, 'needs_barrier', _say_no),),
-    'barrier after unknown': ((SessionState, 'note_unknown', _do_nothing),),
+    'barrier after unknown': (
+        (SessionState, 'note_unknown_write', _do_nothing),
+    ),
     'majority evidence': ((Confirmation, 'confirm', _pass_answer),),
     'longest log': ((promoter, 'choose_candidate', _choose_shortest),),
     'majority in reach': ((GroupView, 'hears_majority', _say_yes),),
-    'closed connection': ((Loan, 'taint', _do_nothing),),
-    'discarded answer': ((TargetPool, 'take_back', _keep_dirty),),
-    'lost state': ((Transaction, '_lose', _begin_anew),),
+    'closed connection': ((AcquiredConnection, 'invalidate', _do_nothing),),
+    'discarded answer': ((TargetPool, 'take_released', _keep_dirty),),
+    'lost state': ((Transaction, '_mark_lost', _begin_anew),),
     'lost is unknown': (
         (target_service, '_describe_loss', _call_lost_not_run),
     ),
@@ -143,7 +145,7 @@
     'age limit': ((GroupView, 'measure_age', _measure_no_age),),
     'age kept': ((GroupView, 'measure_age', _measure_with_majority),),
     'token instead of barrier': ((SessionState, 'needs_barrier', _say_yes),),
-    'ended waits': ((TargetService, 'note_gone', _do_nothing),),
+    'ended waits': ((TargetService, 'mark_unreachable', _do_nothing),),
     'refusal at the door': ((TargetAdmission, '_is_too_long', _say_no),),
     'seats': ((SeatHolder, 'is_seated', _say_yes),),
 }
--- a/tests/features/steps/attributes_steps.py
+++ b/tests/features/steps/attributes_steps.py
@@ -9,7 +9,7 @@
 from sedgeshunt.requests.attributes import (
     read_attributes,
     read_connect_attributes,
-    read_prefixed,
+    read_prefixed_attributes,
 )
 from sedgeshunt.requests.outcome import Cause
 from sedgeshunt.requests.request import StatementKind
@@ -72,7 +72,7 @@
 )
 def check_request(context: Any, name: str, deadline: float, age: float) -> None:
     base = read_connect_attributes(context.connect).unwrap()
-    defaults = read_prefixed(context.variables, base).unwrap()
+    defaults = read_prefixed_attributes(context.variables, base).unwrap()
     found = read_attributes(context.query, context.sql, defaults).unwrap()
     assert found.traffic_class == name
     assert found.deadline == deadline
--- a/tests/features/steps/read_steps.py
+++ b/tests/features/steps/read_steps.py
@@ -60,7 +60,9 @@
                 'rank',
                 lambda *needs, **options: counter.rank(*needs, **options),
             ),
-            patch.object(GroupService, 'find_patience', return_value=PATIENCE),
+            patch.object(
+                GroupService, 'find_replica_wait', return_value=PATIENCE
+            ),
         ):
             started = read_clock()
             reading = create_task(
--- a/tests/features/steps/repeat_steps.py
+++ b/tests/features/steps/repeat_steps.py
@@ -36,15 +36,15 @@
         caller = deployment.open_caller()
         await caller.connect('p1')
         await _ask(caller, FIRST_DEADLINE)
-        read_tip = GroupService.read_tip
+        read_log_end = GroupService.read_log_end
 
         async def replace_then_read(*needs: Any) -> Any:
             replace_primary(group)
             for database in group.databases.values():
                 database.set_lag(0)
-            return await read_tip(*needs)
+            return await read_log_end(*needs)
 
-        with patch.object(GroupService, 'read_tip', replace_then_read):
+        with patch.object(GroupService, 'read_log_end', replace_then_read):
             context.outcome = await _ask(caller, 1)
         context.copies = [
             len(group.select(str(name), SELECT)) for name in group.databases
--- a/tests/features/steps/sessions_steps.py
+++ b/tests/features/steps/sessions_steps.py
@@ -70,7 +70,7 @@
     token = context.keys.sign(context.session.points)
     context.session = SessionState(Monotonic(100))
     points = make_keys('old', 'new').verify(token).unwrap()
-    context.session.merge_token(points)
+    context.session.merge_points(points)
 
 
 @when('these tokens are brought')
@@ -127,12 +127,12 @@
 
 @when('the barrier of "{group}" shows {point}')
 def settle(context: Any, group: str, point: str) -> None:
-    context.session.settle_barrier(GroupId(group), read_point(point))
+    context.session.complete_barrier(GroupId(group), read_point(point))
 
 
 @when('a write to "{group}" ends unknown at {moment:f}')
 def lose_write(context: Any, group: str, moment: float) -> None:
-    context.session.note_unknown(GroupId(group), Monotonic(moment))
+    context.session.note_unknown_write(GroupId(group), Monotonic(moment))
 
 
 @when('a session writes to {count:d} groups and then again to the first')
@@ -154,7 +154,7 @@
 @then('a proxy that gets the token needs a barrier for the second group')
 def check_left_out(context: Any) -> None:
     session = SessionState(Monotonic(1))
-    session.merge_token(context.points)
+    session.merge_points(context.points)
     first, second = list_group_names(2)
     assert not session.needs_barrier(first)
     assert session.needs_barrier(second)
@@ -162,7 +162,9 @@
 
 @then('its reads of "{group}" need {point:S}')
 def check_need(context: Any, group: str, point: str) -> None:
-    assert context.session.need_for(GroupId(group)) == read_point(point)
+    assert context.session.get_required_point(GroupId(group)) == read_point(
+        point
+    )
 
 
 @then('its reads of "{group}" need no barrier')
@@ -173,4 +175,4 @@
 @then('its reads of "{group}" need a barrier since {moment:f}')
 def check_barrier(context: Any, group: str, moment: float) -> None:
     assert context.session.needs_barrier(GroupId(group))
-    assert context.session.barrier_since(GroupId(group)) == moment
+    assert context.session.get_barrier_start(GroupId(group)) == moment
