--- a/src/sedgeshunt/requests/__init__.py
+++ b/src/sedgeshunt/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Carry a caller's request to its one outcome."""
+"""Run the requests of callers and determine their outcomes."""
--- a/src/sedgeshunt/requests/attribute_values.py
+++ b/src/sedgeshunt/requests/attribute_values.py
@@ -1,4 +1,4 @@
-"""Check the attributes of a request, one by one."""
+"""Parse and validate the attributes of a request."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
@@ -16,7 +16,7 @@
 MAX_TOKEN_LENGTH = 4096
 
 _CLASS = compile_pattern('[A-Za-z0-9_.-]{1,64}')
-# Ids are written into SQL by the proxy, so they hold nothing to be quoted.
+# The proxy writes ids into SQL, so characters that need quoting are excluded.
 _IDENTIFIER = compile_pattern('[A-Za-z0-9_.:-]{1,64}')
 _TOKEN = compile_pattern(rf'[\x21-\x7e]{{1,{MAX_TOKEN_LENGTH}}}')
 _DIGITS = compile_pattern('[0-9]{1,9}')
@@ -25,43 +25,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Attributes:
-    """Hold what a request says of itself; None means nothing was said."""
+    """Hold the attributes of a request; None means that one is not set."""
 
     traffic_class: TrafficClass = TrafficClass('default')
     accepted_age: Seconds | None = None
     request_id: RequestId | None = None
     idempotent: bool = False
-    # Time to answer, from the request's arrival.
+    # Time limit, counted from the arrival of the request.
     deadline: Seconds | None = None
     token: str | None = None
     trace: TraceId | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class AttributeReader:
-    """Turn the text of one attribute into its type."""
+class AttributeParser:
+    """Convert the text of one attribute to its type."""
 
     field: str
-    takes: str
-    # Raises ValueError for a malformed text.
-    read: Callable[[str], object]
+    expected: str
+    # Raises ValueError if the text is malformed.
+    parse: Callable[[str], object]
 
 
 def merge_attributes(
     base: Attributes,
     given: Mapping[str, object],
 ) -> Result[Attributes, NotRun]:
-    """Set the given attributes over `base`, all of them or none."""
+    """Return `base` updated with the given attributes, all or none of them."""
     changes: dict[str, Any] = {}
-    said = {name: text for name, text in given.items() if text is not None}
-    for name, text in said.items():
-        reader = ATTRIBUTES.get(name)
-        if reader is None:
+    present = {name: text for name, text in given.items() if text is not None}
+    for name, text in present.items():
+        parser = ATTRIBUTES.get(name)
+        if parser is None:
             return _refuse(f'{name} is unknown; use one of {_NAMES}')
         try:
-            changes[reader.field] = reader.read(str(text))
+            changes[parser.field] = parser.parse(str(text))
         except ValueError:
-            return _refuse(f'{name} is malformed; it takes {reader.takes}')
+            return _refuse(f'{name} is malformed; it takes {parser.expected}')
     return Ok(replace(base, **changes) if changes else base)
 
 
@@ -75,81 +75,81 @@
     return text
 
 
-def _read_class(text: str) -> TrafficClass:
+def _parse_class(text: str) -> TrafficClass:
     return TrafficClass(_match(_CLASS, text))
 
 
-def _read_age(text: str) -> Seconds:
-    return _read_span(text, 0, MAX_AGE_MS)
+def _parse_age(text: str) -> Seconds:
+    return _parse_duration(text, 0, MAX_AGE_MS)
 
 
-def _read_request_id(text: str) -> RequestId:
+def _parse_request_id(text: str) -> RequestId:
     return RequestId(_match(_IDENTIFIER, text))
 
 
-def _read_flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     flag = _FLAGS.get(text.lower())
     if flag is None:
         raise ValueError(text)
     return flag
 
 
-def _read_deadline(text: str) -> Seconds:
-    return _read_span(text, 1, MAX_DEADLINE_MS)
+def _parse_deadline(text: str) -> Seconds:
+    return _parse_duration(text, 1, MAX_DEADLINE_MS)
 
 
-def _read_token(text: str) -> str:
+def _parse_token(text: str) -> str:
     return _match(_TOKEN, text)
 
 
-def _read_trace(text: str) -> TraceId:
+def _parse_trace(text: str) -> TraceId:
     return TraceId(_match(_IDENTIFIER, text))
 
 
-def _read_span(text: str, least: int, most: int) -> Seconds:
+def _parse_duration(text: str, minimum: int, maximum: int) -> Seconds:
     millis = int(_match(_DIGITS, text))
-    if not least <= millis <= most:
+    if not minimum <= millis <= maximum:
         raise ValueError(text)
     return Seconds(millis / 1000)
 
 
-_WORD_FORM = '1 to 64 letters, digits, dots, dashes or underscores'
+_WORD_FORMAT = '1 to 64 letters, digits, dots, dashes or underscores'
 
-ATTRIBUTES: Mapping[str, AttributeReader] = {
-    'traffic_class': AttributeReader(
+ATTRIBUTES: Mapping[str, AttributeParser] = {
+    'traffic_class': AttributeParser(
         'traffic_class',
-        _WORD_FORM,
-        _read_class,
+        _WORD_FORMAT,
+        _parse_class,
     ),
-    'accepted_age_ms': AttributeReader(
+    'accepted_age_ms': AttributeParser(
         'accepted_age',
         f'milliseconds from 0 to {MAX_AGE_MS}',
-        _read_age,
+        _parse_age,
     ),
-    'request_id': AttributeReader(
+    'request_id': AttributeParser(
         'request_id',
-        f'{_WORD_FORM} or colons',
-        _read_request_id,
+        f'{_WORD_FORMAT} or colons',
+        _parse_request_id,
     ),
-    'idempotent': AttributeReader(
+    'idempotent': AttributeParser(
         'idempotent',
         'true or false',
-        _read_flag,
+        _parse_flag,
     ),
-    'deadline_ms': AttributeReader(
+    'deadline_ms': AttributeParser(
         'deadline',
         f'milliseconds from 1 to {MAX_DEADLINE_MS}',
-        _read_deadline,
+        _parse_deadline,
     ),
-    'session_token': AttributeReader(
+    'session_token': AttributeParser(
         'token',
         'a token as the proxy gave it',
-        _read_token,
+        _parse_token,
     ),
-    'trace_id': AttributeReader(
+    'trace_id': AttributeParser(
         'trace',
-        f'{_WORD_FORM} or colons',
-        _read_trace,
+        f'{_WORD_FORMAT} or colons',
+        _parse_trace,
     ),
 }
 _NAMES = ', '.join(ATTRIBUTES)
--- a/src/sedgeshunt/requests/attributes.py
+++ b/src/sedgeshunt/requests/attributes.py
@@ -1,4 +1,4 @@
-"""Read what a request says of itself: query attributes, comment, session."""
+"""Read request attributes: query attributes, SQL comments, session."""
 
 from collections.abc import Iterator, Mapping
 from re import DOTALL, VERBOSE
@@ -15,18 +15,18 @@
 from sedgeshunt.requests.outcome import Cause, NotRun
 
 PREFIX = 'sedgeshunt_'
-# The id of one request would make every later one a repeat of the first.
+# As a session default, it would make each request a retry of the first.
 REQUEST_ID = 'request_id'
 
-COMMENT_FORM = (
+COMMENT_ERROR = (
     'the comment "{0}" can not be read; write each name once, with its value '
     + "in single quotes: /*request_id='a1',idempotent='true'*/"
 )
 
 _COMMENT_OPENING = '/*'
-# A hint or an executable comment is the target's; it is never ours.
+# Optimizer hints and executable comments are left to the target.
 _LEADING_COMMENT = compile_pattern(r'\s*/\*(?![!+])(.*?)\*/', DOTALL)
-_OUR_NAME = compile_pattern(rf'(?:^|,)\s*(?:{"|".join(ATTRIBUTES)})\s*=')
+_KNOWN_NAME = compile_pattern(rf'(?:^|,)\s*(?:{"|".join(ATTRIBUTES)})\s*=')
 _PAIR = compile_pattern(
     r"\s* ([^=,\s]+?) \s* = \s* '((?:[^'\\]|\\.)*)' \s* (?:,|$)",
     DOTALL | VERBOSE,
@@ -38,7 +38,7 @@
     sql: str,
     defaults: Attributes,
 ) -> Result[Attributes, NotRun]:
-    """Merge a statement's own attributes over its session's defaults."""
+    """Return the session defaults overridden by the statement's attributes."""
     merged: Result[Attributes, NotRun] = Ok(defaults)
     if _COMMENT_OPENING in sql:
         merged = read_comments(sql).and_then(
@@ -55,19 +55,19 @@
     given: Mapping[str, object],
     defaults: Attributes,
 ) -> Result[Attributes, NotRun]:
-    """Merge those of a session's names that carry the prefix."""
-    ours = {
+    """Return the defaults overridden by the prefixed session variables."""
+    attributes = {
         name.removeprefix(PREFIX): text
         for name, text in given.items()
         if name.startswith(PREFIX)
     }
-    return merge_attributes(defaults, ours)
+    return merge_attributes(defaults, attributes)
 
 
 def read_connect_attributes(
     given: Mapping[str, object],
 ) -> Result[Attributes, NotRun]:
-    """Read the defaults that a caller brings when it connects."""
+    """Read the session defaults from the connection attributes."""
     if PREFIX + REQUEST_ID in given:
         reason = (
             f'connect attribute {PREFIX}{REQUEST_ID} would give all requests '
@@ -78,10 +78,10 @@
 
 
 def read_comments(sql: str) -> Result[Mapping[str, object], NotRun]:
-    """Read the outer comments; one with no name of ours is not ours."""
+    """Read leading and trailing comments that name a known attribute."""
     pairs: dict[str, object] = {}
     for body in _list_comments(sql):
-        if _OUR_NAME.search(body):
+        if _KNOWN_NAME.search(body):
             found = _read_pairs(body, pairs)
             if isinstance(found, Err):
                 return found
@@ -95,8 +95,8 @@
         yield comment[1]
         end = comment.end()
         comment = _LEADING_COMMENT.match(sql, end)
-    # Libraries that write such comments put them last: an id overlooked
-    # there would let a repeat run twice.
+    # Client libraries that write such comments append them. A request id
+    # missed there would let a retry run twice.
     text = sql.rstrip(' \t\r\n;')
     start = text.rfind(_COMMENT_OPENING, end)
     if start >= 0 and text.endswith('*/'):
@@ -107,13 +107,13 @@
     body: str,
     pairs: dict[str, object],
 ) -> Result[None, NotRun]:
-    # A comment that names one of ours is read to its end or refused: a
-    # request id lost to a missing quote would let a repeat run twice.
+    # A comment that names a known attribute must parse completely: ignoring
+    # a request id because of a missing quote would let a retry run twice.
     end = 0
     while body[end:].strip():
         pair = _PAIR.match(body, end)
         if pair is None or pair[1] in pairs:
-            return Err(NotRun(Cause.ATTRIBUTE, COMMENT_FORM.format(body)))
+            return Err(NotRun(Cause.ATTRIBUTE, COMMENT_ERROR.format(body)))
         pairs[pair[1]] = unquote(pair[2].replace(r'\'', "'"))
         end = pair.end()
     return Ok(None)
--- a/src/sedgeshunt/requests/caller_session.py
+++ b/src/sedgeshunt/requests/caller_session.py
@@ -1,4 +1,4 @@
-"""Define how the way in from callers reaches the rest of the proxy."""
+"""Define the interface between client protocols and request handling."""
 
 from abc import ABC, abstractmethod
 
@@ -12,37 +12,37 @@
 
 
 class CallerSession(ABC):
-    """Answer one caller's requests to one group, one after the other."""
+    """Answer the requests of one caller to one group, in order."""
 
     @property
     @abstractmethod
     def in_transaction(self) -> bool:
-        """Tell whether the caller has a transaction to end.
+        """Return whether the caller has a transaction to end.
 
-        Stay True for a lost transaction until the caller ends it: its
-        statements would otherwise commit one by one.
+        Remains True for a lost transaction until the caller ends it.
+        Otherwise its further statements would commit one by one.
         """
 
     @property
     @abstractmethod
     def token(self) -> str:
-        """Return the latest session token, signed."""
+        """Return the signed token of the current session state."""
 
     @abstractmethod
     async def answer(self, request: Request) -> Result[Answer, Refusal]:
-        """Carry one request to its one outcome."""
+        """Run one request and return its outcome."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Undo an open transaction; closing twice does no harm."""
+        """Roll back an open transaction; closing again has no effect."""
 
     def find_deadline(self, traffic_class: TrafficClass) -> Seconds:
-        """Return the time to answer when the caller names none."""
+        """Return the time limit of a request that sets no deadline."""
         return DEFAULT_DEADLINE
 
 
 class CallerSessionFactory(ABC):
-    """Let callers in."""
+    """Open sessions for callers."""
 
     @abstractmethod
     async def open_session(
@@ -50,4 +50,4 @@
         group: GroupId,
         trace: TraceId,
     ) -> CallerSession:
-        """Open a session; an unknown group refuses each request."""
+        """Open a session; for an unknown group, it refuses each request."""
--- a/src/sedgeshunt/requests/confirmation.py
+++ b/src/sedgeshunt/requests/confirmation.py
@@ -1,4 +1,4 @@
-"""Let committed writes out once they cannot be lost any more."""
+"""Acknowledge committed writes once they are durable."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """Wait for a majority of one group."""
+    """Wait until a majority of one group holds a write."""
 
     service: GroupService
 
@@ -23,13 +23,13 @@
         request: Request,
         answer: Answer,
     ) -> Result[Answer, Refusal]:
-        """Let a committed write out once it is durable in its own term."""
+        """Return the answer once its write is durable in its own term."""
         if answer.point is None:
             return Ok(answer)
         if await self.service.view.wait_durable(answer.point, request.deadline):
             return Ok(answer)
-        # The record is on a primary that lost its term or cannot reach a
-        # majority: acknowledging it would lose it with that primary.
+        # The primary lost its term or cannot reach a majority. The record
+        # would be lost with that primary, so it must not be acknowledged.
         return Err(
             Unknown(
                 Cause.NOT_DURABLE,
@@ -43,7 +43,7 @@
         request: Request,
         term: Term | None,
     ) -> Point | None:
-        """Return the target's log end, None unless it leads in `term`."""
+        """Return the target's log end; None if it is not primary in `term`."""
         if term is None:
             return None
         return await self.service.read_log_end(
--- a/src/sedgeshunt/requests/group_service.py
+++ b/src/sedgeshunt/requests/group_service.py
@@ -1,4 +1,4 @@
-"""Serve one group: its targets, what is known of it, and its routes."""
+"""Serve one group: its targets, its observed state and its routes."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -31,17 +31,17 @@
 from sedgeshunt.routing.recent import RecentChoices
 from sedgeshunt.routing.views import Load
 
-CHECK_EVERY = Seconds(0.05)
-RETRY_PAUSE = Seconds(0.02)
+CHECK_INTERVAL = Seconds(0.05)
+RETRY_DELAY = Seconds(0.02)
 NO_PRIMARY_RETRY = Seconds(0.5)
-# Writes that may wait for a promotion; the rest is refused at the door.
+# Writes that may wait for a promotion; further ones are refused at once.
 MAX_WAITING_WRITES = 512
 
 ServiceFactory = Callable[[Group, Target, TargetHealth], TargetService]
 
 
 class GroupService:
-    """Hold what one proxy needs to serve one group."""
+    """Hold the state that a proxy needs to serve one group."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         health: GroupHealth,
         make_service: ServiceFactory,
     ) -> None:
-        """Start with no targets; apply() brings them."""
+        """Start without targets; apply() adds them."""
         self.group = group
         self.view = view
         self.budget = RetryBudget()
@@ -67,11 +67,11 @@
 
     @property
     def name(self) -> GroupId:
-        """Name the group."""
+        """Return the name of the group."""
         return self.group.name
 
     async def apply(self, snapshot: Snapshot) -> None:
-        """Follow a new configuration."""
+        """Apply a new configuration."""
         self.group = snapshot.groups[self.name]
         self.targets = snapshot.list_targets(self.name)
         self.routes.apply(self.group, snapshot)
@@ -87,7 +87,7 @@
         self,
         deadline: Monotonic,
     ) -> Result[TargetService, NotRun]:
-        """Return the primary, waiting for a promotion within `deadline`."""
+        """Return the primary; wait for a promotion until `deadline`."""
         service = self._get_primary()
         if service is not None:
             return Ok(service)
@@ -100,7 +100,7 @@
             self._waiting_writes -= 1
 
     def find_primary_term(self, target: TargetId) -> Term | None:
-        """Return the term in which the target is known to lead."""
+        """Return the term in which the target was last seen as primary."""
         status = self.view.get_status(target)
         if status is None or status.role is not Role.PRIMARY:
             return None
@@ -112,9 +112,9 @@
         term: Term,
         deadline: Monotonic,
     ) -> Point | None:
-        """Return the primary's log end as asked for from now on.
+        """Return the primary's log end, read after this call started.
 
-        None when it does not lead in `term` any more.
+        Return None if the target is no longer primary in `term`.
         """
         since = read_clock()
         while read_clock() < deadline:
@@ -126,15 +126,15 @@
             await self.view.wait_change(deadline)
         return None
 
-    async def may_retry(self, deadline: Monotonic) -> bool:
-        """Spend from the retry budget and pause before the next attempt."""
+    async def wait_for_retry(self, deadline: Monotonic) -> bool:
+        """Take from the retry budget and delay; return whether to retry."""
         if not self.budget.try_spend():
             return False
-        await sleep(RETRY_PAUSE)
+        await sleep(RETRY_DELAY)
         return read_clock() < deadline
 
     def replace_targets(self, targets: list[Target]) -> None:
-        """Take the targets with what is known of their leaving."""
+        """Replace the targets by ones with an updated leaving state."""
         self.targets = targets
         for target in targets:
             self.services[target.name].target = target
@@ -165,7 +165,7 @@
         need: ReadNeed,
         now: Monotonic,
     ) -> TargetId | None:
-        """Return the last read's replica if it is as good for this one."""
+        """Return the replica of the last read if it can serve this one too."""
         name = self._recent.find(route.traffic_class, now)
         service = None if name is None else self.services.get(name)
         if service is None or not service.is_free():
@@ -180,7 +180,7 @@
         need: ReadNeed,
         now: Monotonic,
     ) -> bool:
-        """Tell whether a target holds all that a read has to see."""
+        """Return whether the target holds the data that the read requires."""
         return meets_need(self.view, service.target.name, need, now)
 
     def find_replica_wait(
@@ -189,7 +189,7 @@
         need: ReadNeed,
         deadline: Monotonic,
     ) -> Seconds | None:
-        """Return how long to wait for a replica, None to go on now."""
+        """Return how long to wait for a replica; None for no wait."""
         replica = ranking.may_catch_up
         if replica is None:
             return None
@@ -207,11 +207,11 @@
         )
 
     def is_target_reachable(self, target: TargetId) -> bool:
-        """Tell whether the target answers at this moment."""
+        """Return whether the target currently answers."""
         return self.view.is_heard(target, read_clock())
 
     async def watch_targets(self, refresh: Callable[[], None]) -> None:
-        """End waits on targets that are gone, until cancelled."""
+        """End waits for targets that stop answering, until cancelled."""
         was_reachable: dict[TargetId, bool] = {}
         while True:
             refresh()
@@ -223,14 +223,14 @@
                     service.mark_unreachable()
                     await service.pool.drop_idle()
                 was_reachable[name] = is_reachable
-            await sleep(CHECK_EVERY)
+            await sleep(CHECK_INTERVAL)
 
     async def track_replica_lag(self) -> None:
-        """Learn how far replicas lag, until cancelled."""
+        """Measure the replication lag of the replicas, until cancelled."""
         await self.catch_up.watch(self.view, lambda: self.services)
 
     async def resize(self, *, is_seated: bool) -> None:
-        """Follow the seat: a full share with one, the least without."""
+        """Set the pool sizes: a full share with a seat, the minimum without."""
         limits = (self.group.connection_limit, self.group.seats)
         share = compute_share(*limits)
         size = share.seated if is_seated else share.unseated
@@ -253,8 +253,8 @@
         deadline: Monotonic,
     ) -> Result[TargetService, NotRun]:
         while read_clock() < deadline:
-            # Without a majority in reach no write can be acknowledged, here
-            # or by a promotion: waiting would only delay the refusal.
+            # Without a reachable majority, no write can be acknowledged and
+            # no target promoted, so waiting would only delay the refusal.
             if not self.view.hears_majority():
                 return Err(
                     self._refuse_write('no majority of its targets answers'),
--- a/src/sedgeshunt/requests/handler.py
+++ b/src/sedgeshunt/requests/handler.py
@@ -1,4 +1,4 @@
-"""Answer one caller's requests in order, within its session."""
+"""Answer the requests of one caller within its session."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -26,11 +26,11 @@
 
 STOPPING_RETRY = Seconds(0.05)
 
-Boundary = Callable[[Request], Awaitable[Result[Answer, Refusal]]]
+BoundaryHandler = Callable[[Request], Awaitable[Result[Answer, Refusal]]]
 
 
 class RequestHandler(CallerSession):
-    """Serve one caller's connection to one group."""
+    """Handle the requests of one caller connection to one group."""
 
     def __init__(
         self,
@@ -39,15 +39,15 @@
         keys: TokenKeys,
         recorder: OutcomeRecorder,
     ) -> None:
-        """Open with no transaction."""
+        """Start without a transaction."""
         self._service = service
         self._session = session
         self._keys = keys
         self._recorder = recorder
         self._reads = ReadRunner(service)
-        self._writes = WriteRunner.of(service)
+        self._writes = WriteRunner.for_group(service)
         self._transaction: Transaction | None = None
-        self._bounds: dict[StatementKind, Boundary] = {
+        self._boundary_handlers: dict[StatementKind, BoundaryHandler] = {
             StatementKind.BEGIN: self._begin,
             StatementKind.COMMIT: self._commit,
             StatementKind.ROLLBACK: self._rollback,
@@ -55,26 +55,26 @@
 
     @property
     def group(self) -> GroupId:
-        """Name the group that the session reads and writes."""
+        """Return the group that the session reads and writes."""
         return self._service.name
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether a transaction is open."""
+        """Return whether a transaction is open."""
         return self._transaction is not None
 
     @property
     def token(self) -> str:
-        """Return the session's points, signed."""
+        """Return the signed token of the session's log positions."""
         return self._keys.sign(self._session.points)
 
     def find_deadline(self, traffic_class: TrafficClass) -> Seconds:
-        """Return the time to answer that the class's route gives."""
+        """Return the default time limit of the traffic class."""
         route = self._service.routes.find(traffic_class)
         return Seconds(route.deadline_ms / MILLISECONDS)
 
     async def answer(self, request: Request) -> Result[Answer, Refusal]:
-        """Carry one request to its one outcome."""
+        """Run one request, record its outcome and return it."""
         started = read_clock()
         outcome = await self._answer(request)
         spent = Seconds(read_clock() - started)
@@ -82,7 +82,7 @@
         return outcome
 
     async def close(self) -> None:
-        """Undo an open transaction; the caller has left."""
+        """Roll back an open transaction after the caller has disconnected."""
         transaction = self._end_transaction()
         if transaction is not None:
             await transaction.abandon()
@@ -91,9 +91,9 @@
         refused = self._check(request)
         if refused is not None:
             return Err(refused)
-        bound = self._bounds.get(request.kind)
-        if bound is not None:
-            return await bound(request)
+        handle = self._boundary_handlers.get(request.kind)
+        if handle is not None:
+            return await handle(request)
         if self._transaction is not None:
             route = self._service.routes.find(request.traffic_class)
             return await self._transaction.run(request, route)
@@ -128,7 +128,7 @@
 
     async def _begin(self, request: Request) -> Result[Answer, Refusal]:
         if self._transaction is not None:
-            # As the protocol has it, BEGIN ends an open transaction first.
+            # As the protocol defines, BEGIN commits an open transaction first.
             ended = await self._commit(request)
             if isinstance(ended, Err):
                 return ended
@@ -172,22 +172,22 @@
     """Refuse every request to a group that this proxy does not serve."""
 
     def __init__(self, group: GroupId, served: Sequence[str]) -> None:
-        """Keep the names of the groups that could be asked for."""
+        """Store the names of the groups that are served."""
         self._group = group
         self._served = served
 
     @property
     def in_transaction(self) -> bool:
-        """Tell that no transaction can be open."""
+        """Return False, as no transaction can be open."""
         return False
 
     @property
     def token(self) -> str:
-        """Return no token."""
+        """Return an empty token."""
         return ''
 
     async def answer(self, request: Request) -> Result[Answer, Refusal]:
-        """Refuse, naming the groups that are served."""
+        """Refuse the request and list the groups that are served."""
         served = ', '.join(self._served) or 'none yet, it is starting'
         return Err(
             NotRun(
@@ -199,4 +199,4 @@
         )
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as no resource is held."""
--- a/src/sedgeshunt/requests/outcome.py
+++ b/src/sedgeshunt/requests/outcome.py
@@ -1,4 +1,4 @@
-"""Name the outcomes that a caller can get: done, not run, unknown."""
+"""Define the outcomes of a request: done, not run, unknown, rejected."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -10,30 +10,30 @@
 
 
 class Column(Struct, frozen=True):
-    """Describe one column of an answer by its name and wire type."""
+    """Hold the name and wire type of one result column."""
 
     name: str
     type_code: int
 
 
 class Answer(Struct, frozen=True):
-    """Hold the whole answer to one statement."""
+    """Hold the complete result of one statement."""
 
     columns: Sequence[Column] = ()
     rows: Sequence[Sequence[object]] = ()
     affected_rows: int = 0
     last_insert_id: int = 0
-    # The end of the log after a commit; a read brings none.
+    # Log position of the commit; None for a read.
     point: Point | None = None
     served_by: TargetId | None = None
     # The signed session token, set after a write or a commit.
     token: str | None = None
-    # The target's own proof that it ran the statement, for those that sign.
+    # The target's signature over its result, empty if it does not sign.
     signature: str = ''
 
 
 class Cause(Enum):
-    """Name why a request got no answer, as metrics and logs show it."""
+    """Enumerate why a request failed, as shown in metrics and logs."""
 
     ATTRIBUTE = 'attribute'
     TOKEN = 'token'
@@ -54,12 +54,12 @@
 
 
 class NotRun(Struct, frozen=True):
-    """Refuse a request that truly did not run, and say when to return."""
+    """Report that a request certainly did not run and when to retry."""
 
     cause: Cause
     reason: str
     retry_after: Seconds = field(default=Seconds(0.1))
-    # The target that it was meant for, for reports.
+    # The target that it was routed to, for reports.
     target: TargetId | None = None
 
     def describe(self) -> str:
@@ -69,7 +69,7 @@
 
 
 class Unknown(Struct, frozen=True):
-    """Say that a request was sent and that no proof of its fate exists."""
+    """Report that a request was sent and may or may not have run."""
 
     cause: Cause
     reason: str
@@ -86,14 +86,14 @@
 
 
 class Rejected(Struct, frozen=True):
-    """Pass on a target's own error: the statement failed and left nothing."""
+    """Report an error of the target: the statement failed without effect."""
 
     code: int
     sqlstate: str
     reason: str
 
     def describe(self) -> str:
-        """Repeat the target's message unchanged."""
+        """Return the target's message unchanged."""
         return self.reason
 
 
--- a/src/sedgeshunt/requests/reads.py
+++ b/src/sedgeshunt/requests/reads.py
@@ -1,4 +1,4 @@
-"""Serve reads from the best target that provably may."""
+"""Run reads on targets that meet their consistency requirement."""
 
 from dataclasses import dataclass
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRunner:
-    """Carry one read to its outcome."""
+    """Run the reads of one group."""
 
     service: GroupService
 
@@ -36,12 +36,12 @@
         route: Route,
         session: SessionState,
     ) -> Result[Answer, Refusal]:
-        """Run the read on replicas first, on another target when one fails."""
-        learnt = await self._learn_need(request, route, session)
-        if isinstance(learnt, Err):
-            return learnt
+        """Run the read, preferably on a replica; try others on failure."""
+        found_need = await self._find_need(request, route, session)
+        if isinstance(found_need, Err):
+            return found_need
         self.service.budget.note_request()
-        return await self._try_targets(request, route, learnt.ok_value)
+        return await self._try_targets(request, route, found_need.ok_value)
 
     async def _try_targets(
         self,
@@ -65,22 +65,22 @@
             if refusal is None or isinstance(refusal, Rejected):
                 return outcome
             tried.add(found.ok_value)
-            last = _prefer(last, refusal)
-            if not await self._may_go_on(request, refusal, tried):
+            last = _merge_refusals(last, refusal)
+            if not await self._may_try_next(request, refusal, tried):
                 return Err(last)
-            if _is_overload(refusal) and self._is_last(route, need, tried):
-                # Every target that may serve is full: waiting for another
-                # one to catch up would only delay the refusal.
+            if _is_overload(refusal) and self._is_exhausted(route, need, tried):
+                # All eligible targets are overloaded. Waiting for another one
+                # to catch up would only delay the refusal.
                 return Err(last)
 
-    def _is_last(
+    def _is_exhausted(
         self,
         route: Route,
         need: ReadNeed,
         tried: set[TargetId],
     ) -> bool:
         ranking = self.service.rank(route, need, read_clock())
-        return _pick(ranking, tried) is None
+        return _pick_untried(ranking, tried) is None
 
     async def _run_on(
         self,
@@ -98,7 +98,7 @@
             lambda: self.service.meets_need(service, need, read_clock()),
         )
 
-    async def _learn_need(
+    async def _find_need(
         self,
         request: Request,
         route: Route,
@@ -109,8 +109,8 @@
         if age is None and route.accepted_age_ms:
             age = Seconds(route.accepted_age_ms / MILLISECONDS)
         if age is None and session.needs_barrier(group):
-            # A caller that brings no token may have written through another
-            # proxy before this session opened; the barrier covers that.
+            # A caller without a token may have written through another proxy
+            # before this session was opened; the barrier covers that write.
             barrier = await self._wait_barrier(request, session)
             if isinstance(barrier, Err):
                 return barrier
@@ -155,40 +155,40 @@
         need: ReadNeed,
         tried: set[TargetId],
     ) -> Result[TargetId, NotRun]:
-        waits_until: Monotonic | None = None
+        wait_until: Monotonic | None = None
         while True:
             now = read_clock()
             ranking = self.service.rank(route, need, now)
-            choice = _pick(ranking, tried)
+            choice = _pick_untried(ranking, tried)
             if choice is None:
-                if not self._is_hopeful(request, now):
+                if not self._can_wait(request, now):
                     return Err(self._refuse_stale(ranking.describe()))
                 await self._wait_change(request.deadline)
                 continue
-            if waits_until is None:
+            if wait_until is None:
                 wait = self.service.find_replica_wait(
                     ranking,
                     need,
                     request.deadline,
                 )
-                # Chosen once for each read: renewed at every change, the
-                # wait for a replica that never comes would last to the
-                # deadline. Counted from `now`, so that no wait is none.
-                waits_until = Monotonic(now + (wait or 0))
-            if now >= waits_until:
+                # Set once per read. If each change extended it, the wait for
+                # a replica that never catches up would last until the
+                # deadline. It starts at `now` so that a zero wait ends here.
+                wait_until = Monotonic(now + (wait or 0))
+            if now >= wait_until:
                 return Ok(choice)
-            await self._wait_change(min(request.deadline, waits_until))
+            await self._wait_change(min(request.deadline, wait_until))
 
     async def _wait_change(self, until: Monotonic) -> None:
         self.service.view.request_fresh()
         await self.service.view.wait_change(until)
 
-    def _is_hopeful(self, request: Request, now: Monotonic) -> bool:
-        # With no majority in reach no age and no barrier can be proved from
-        # now on, so waiting would only delay the refusal.
+    def _can_wait(self, request: Request, now: Monotonic) -> bool:
+        # Without a reachable majority, neither an age nor a barrier can be
+        # established, so waiting would only delay the refusal.
         return now < request.deadline and self.service.view.hears_majority()
 
-    async def _may_go_on(
+    async def _may_try_next(
         self,
         request: Request,
         refusal: Refusal,
@@ -200,7 +200,7 @@
             return False
         if isinstance(refusal, NotRun):
             return True
-        return await self.service.may_retry(request.deadline)
+        return await self.service.wait_for_retry(request.deadline)
 
     def _refuse_stale(self, detail: str) -> NotRun:
         return NotRun(
@@ -210,7 +210,7 @@
         )
 
 
-def _pick(ranking: Ranking, tried: set[TargetId]) -> TargetId | None:
+def _pick_untried(ranking: Ranking, tried: set[TargetId]) -> TargetId | None:
     for target in ranking.eligible:
         if target not in tried:
             return target
@@ -223,6 +223,6 @@
     return refusal.cause in {Cause.OVERLOAD, Cause.DEADLINE}
 
 
-def _prefer(last: Refusal | None, refusal: Refusal) -> Refusal:
-    # "Not run" may only be said when it is true of every attempt.
+def _merge_refusals(last: Refusal | None, refusal: Refusal) -> Refusal:
+    # "Not run" may only be reported if no attempt can have run.
     return last if isinstance(last, Unknown) else refusal
--- a/src/sedgeshunt/requests/recorder.py
+++ b/src/sedgeshunt/requests/recorder.py
@@ -1,4 +1,4 @@
-"""Count and log every outcome."""
+"""Record the outcomes of requests in metrics and logs."""
 
 from result import Err, Result
 
@@ -23,7 +23,7 @@
 
 
 class OutcomeRecorder:
-    """Take note of each request's outcome, on every statement's path."""
+    """Record the outcome of each request, on the path of all statements."""
 
     def __init__(
         self,
@@ -31,8 +31,8 @@
         metrics: Metrics,
         statements: StatementLog,
     ) -> None:
-        """Send each outcome to the burn tally, the metrics and the log."""
-        # A stopping proxy opens no new work, and says so to its callers.
+        """Record to the burn tally, the metrics and the statement log."""
+        # Set on shutdown; then requests outside transactions are refused.
         self.is_stopping = False
         self.tally = tally
         self._metrics = metrics
@@ -44,7 +44,7 @@
         outcome: Result[Answer, Refusal],
         spent: Seconds,
     ) -> None:
-        """Note one outcome."""
+        """Record one outcome."""
         now = read_clock()
         refusal = outcome.err()
         name = name_outcome(refusal)
@@ -79,7 +79,7 @@
 
 
 def name_outcome(refusal: Refusal | None) -> str:
-    """Name an outcome as reports and metrics show it."""
+    """Return the name of an outcome in reports and metrics."""
     if refusal is None:
         return DONE
     if isinstance(refusal, NotRun):
--- a/src/sedgeshunt/requests/request.py
+++ b/src/sedgeshunt/requests/request.py
@@ -1,4 +1,4 @@
-"""Describe one statement of a caller and what it says of itself."""
+"""Define a request: one statement of a caller and its attributes."""
 
 from enum import Enum
 
@@ -15,14 +15,14 @@
 
 
 class StatementKind(Enum):
-    """Tell how a statement has to be routed."""
+    """Enumerate the kinds of statements by how they are routed."""
 
     READ = 'read'
     WRITE = 'write'
     BEGIN = 'begin'
     COMMIT = 'commit'
     ROLLBACK = 'rollback'
-    # Answered by the proxy itself: SET NAMES, session settings, version.
+    # Answered by the proxy: SET NAMES, session settings, version.
     SESSION = 'session'
 
 
@@ -35,9 +35,9 @@
     deadline: Monotonic
     trace: TraceId
     traffic_class: TrafficClass = TrafficClass('default')
-    # Oldest data that a read accepts; None means read-your-writes only.
+    # Maximum staleness of a read; None requires read-your-writes.
     accepted_age: Seconds | None = None
     request_id: RequestId | None = None
     idempotent: bool = False
-    # A signed token brought along; None means the connection's own session.
+    # Signed token sent with the request; None uses the connection's session.
     token: str | None = None
--- a/src/sedgeshunt/requests/request_ids.py
+++ b/src/sedgeshunt/requests/request_ids.py
@@ -1,4 +1,4 @@
-"""Keep request ids in the group's own database, so that it decides."""
+"""Deduplicate requests by ids stored in the group's own database."""
 
 from dataclasses import dataclass
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestIds:
-    """Record the ids of one group's requests and find them again."""
+    """Store request ids of one group and look up their results."""
 
     service: GroupService
     confirmation: Confirmation
@@ -38,16 +38,16 @@
     async def record(
         self,
         service: TargetService,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
         answer: Answer,
     ) -> Result[Answer, Refusal]:
-        """Insert the request id into the write's own transaction."""
+        """Insert the request id within the transaction of the write."""
         if request.request_id is None:
             return Ok(answer)
         request_id = quote_text(request.request_id)
         inserted = await service.run_on(
-            loan,
+            connection,
             request,
             'INSERT INTO request_ids (id, affected_rows, last_insert_id) '
             + f'VALUES ({request_id}, {answer.affected_rows}, '
@@ -55,20 +55,20 @@
         )
         return Ok(answer) if isinstance(inserted, Ok) else inserted
 
-    async def recall(
+    async def find_result(
         self,
         service: TargetService,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
         request_id: RequestId,
     ) -> Result[Answer, Refusal] | None:
-        """Return the stored result of an earlier run, None if none ran."""
-        # A superseded primary may still hold a first run that its group has
-        # dropped, and follow the new one a moment later. Its log end counts
-        # only while it leads in the term in which the row was seen.
+        """Return the stored result of an earlier run; None if there is none."""
+        # A superseded primary may still hold an earlier run that its group
+        # has discarded, and follow the new primary soon after. Its log end is
+        # valid only while it is primary in the term in which the row was read.
         term = self.service.find_primary_term(service.target.name)
         found = await service.run_on(
-            loan,
+            connection,
             request,
             'SELECT affected_rows, last_insert_id FROM request_ids '
             + f'WHERE id = {quote_text(request_id)}',
@@ -77,24 +77,24 @@
             return found
         if not found.ok_value.rows:
             return None
-        return await self._confirm_recalled(
+        return await self._confirm_found(
             service,
             request,
             found.ok_value,
             term,
         )
 
-    async def _confirm_recalled(
+    async def _confirm_found(
         self,
         service: TargetService,
         request: Request,
         found: Answer,
         term: Term | None,
     ) -> Result[Answer, Refusal]:
-        # The earlier run may not be durable yet: its place in the log is at
-        # or before the primary's end as read after the row was seen.
-        tip = await self.confirmation.read_log_end(service, request, term)
-        if tip is None:
+        # The earlier run may not be durable yet. Its log position is at or
+        # before the primary's log end, which is read after the row.
+        log_end = await self.confirmation.read_log_end(service, request, term)
+        if log_end is None:
             return Err(
                 Unknown(Cause.NOT_DURABLE, 'the first run is not confirmed'),
             )
@@ -102,71 +102,71 @@
         answer = Answer(
             affected_rows=int(str(affected)),
             last_insert_id=int(str(inserted)),
-            point=tip,
+            point=log_end,
             served_by=service.target.name,
         )
         return await self.confirmation.confirm(request, answer)
 
-    async def settle(
+    async def resolve(
         self,
         request: Request,
-        unsure: Unknown,
+        unknown: Unknown,
     ) -> Result[Answer, Refusal]:
-        """Find out by its id whether a transaction was committed."""
+        """Determine by its request id whether a transaction was committed."""
         found = await self.service.find_primary(request.deadline)
         if isinstance(found, Err):
-            return Err(unsure)
+            return Err(unknown)
         target = found.ok_value
-        lent = await target.acquire(request)
-        if isinstance(lent, Err):
-            return Err(unsure)
-        async with lent.ok_value as loan:
-            return await self._probe(target, loan, request, unsure)
+        acquired = await target.acquire(request)
+        if isinstance(acquired, Err):
+            return Err(unknown)
+        async with acquired.ok_value as connection:
+            return await self._probe_id(target, connection, request, unknown)
 
-    async def _probe(
+    async def _probe_id(
         self,
         target: TargetService,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
-        unsure: Unknown,
+        unknown: Unknown,
     ) -> Result[Answer, Refusal]:
         term = self.service.find_primary_term(target.target.name)
-        begun = await target.run_on(loan, request, 'BEGIN')
+        begun = await target.run_on(connection, request, 'BEGIN')
         if isinstance(begun, Err):
-            return Err(unsure)
-        # The insert waits for an open transaction with the same id, so its
-        # success proves that the first one was undone for good.
-        probe = await self.record(target, loan, request, Answer())
-        undone = await target.run_on(loan, request, 'ROLLBACK')
+            return Err(unknown)
+        # The insert blocks on an open transaction with the same id, so its
+        # success proves that the first transaction was rolled back.
+        probe = await self.record(target, connection, request, Answer())
+        undone = await target.run_on(connection, request, 'ROLLBACK')
         if isinstance(undone, Err):
-            loan.invalidate()
-            return Err(unsure)
+            connection.invalidate()
+            return Err(unknown)
         if isinstance(probe, Ok):
-            return Err(await self._prove_undone(target, request, unsure, term))
+            return Err(await self._prove_undone(target, request, unknown, term))
         if request.request_id is None:
-            return Err(unsure)
-        recalled = await self.recall(
+            return Err(unknown)
+        stored = await self.find_result(
             target,
-            loan,
+            connection,
             request,
             request.request_id,
         )
-        return Err(unsure) if recalled is None else recalled
+        return Err(unknown) if stored is None else stored
 
     async def _prove_undone(
         self,
         target: TargetService,
         request: Request,
-        unsure: Unknown,
+        unknown: Unknown,
         term: Term | None,
     ) -> Refusal:
-        # A new primary that dies before anybody has its opening record
-        # leaves the choice to logs of the earlier term, and the transaction
-        # may come back with them. Once a majority holds this primary's log
-        # it can't, and only then is "not run" true.
-        tip = await self.confirmation.read_log_end(target, request, term)
-        if tip is None:
-            return unsure
-        if not await self.service.view.wait_durable(tip, request.deadline):
-            return unsure
-        return NotRun(unsure.cause, unsure.reason, FAILOVER_RETRY)
+        # If a new primary fails before any replica has the first record of
+        # its term, a log of the earlier term may be chosen and restore the
+        # transaction. Only when a majority holds this primary's log is that
+        # impossible and "not run" certain.
+        log_end = await self.confirmation.read_log_end(target, request, term)
+        if log_end is None:
+            return unknown
+        if not await self.service.view.wait_durable(log_end, request.deadline):
+            return unknown
+        return NotRun(unknown.cause, unknown.reason, FAILOVER_RETRY)
--- a/src/sedgeshunt/requests/routes.py
+++ b/src/sedgeshunt/requests/routes.py
@@ -1,4 +1,4 @@
-"""Find the route of a traffic class in one group."""
+"""Look up the route of a traffic class in one group."""
 
 from result import Err
 
@@ -12,14 +12,14 @@
 
 
 class RouteTable:
-    """Hold the routes that cover one group, by traffic class."""
+    """Map traffic classes to the routes of one group."""
 
     def __init__(self) -> None:
-        """Know the built-in default only."""
+        """Start with the built-in default route."""
         self._routes = {DEFAULT_CLASS: DEFAULT_ROUTE}
 
     def apply(self, group: Group, snapshot: Snapshot) -> None:
-        """Follow a new configuration."""
+        """Apply a new configuration."""
         labels = list_labels(group)
         routes: dict[TrafficClass, Route] = {}
         for _, route in sorted(snapshot.routes.items()):
@@ -37,5 +37,5 @@
         return found or self._routes[DEFAULT_CLASS]
 
     def has_class(self, traffic_class: TrafficClass) -> bool:
-        """Tell whether a route declares the class."""
+        """Return whether a route declares the class."""
         return traffic_class in self._routes
--- a/src/sedgeshunt/requests/statement_checks.py
+++ b/src/sedgeshunt/requests/statement_checks.py
@@ -1,4 +1,4 @@
-"""Find what a shared connection must not be asked to run."""
+"""Detect statements that must not run on a shared connection."""
 
 from collections.abc import Iterable
 from re import DOTALL, IGNORECASE, VERBOSE, Match
@@ -6,8 +6,8 @@
 
 _FLAGS = IGNORECASE | DOTALL | VERBOSE
 
-# Literals, quoted names and comments. What an executable comment holds is
-# code: only its marks go.
+# Literals, quoted names and comments. The content of an executable comment is
+# code, so only its delimiters match.
 _QUOTED = compile_pattern(
     r"""
     '(?:[^'\\]++|\\.|'')*+'
@@ -21,10 +21,10 @@
     """,
     _FLAGS,
 )
-# A connection to a target serves one caller after the other. What a statement
-# would leave behind on it (locks, variables, temporary tables, an open
-# transaction) would reach the next caller, so it is refused at the door.
-_LEFT_BEHIND = compile_pattern(
+# Callers share connections to targets. Connection state that a statement
+# would leave (locks, variables, temporary tables, an open transaction) would
+# affect the next caller, so such statements are refused before they are sent.
+_CONNECTION_STATE = compile_pattern(
     r"""
     (?<![\w@'"`]) @ [\w'"`$]
     | \b (?: GET_LOCK | RELEASE_LOCK | RELEASE_ALL_LOCKS ) \s* \(
@@ -36,7 +36,7 @@
     """,
     _FLAGS,
 )
-_LEAVING_WORDS = frozenset(
+_CONNECTION_STATE_WORDS = frozenset(
     (
         'DEALLOCATE',
         'EXECUTE',
@@ -46,80 +46,80 @@
         'XA',
     ),
 )
-# These answer for the connection's last statement, which outside a
-# transaction may have been another caller's.
+# These functions refer to the connection's last statement, which outside a
+# transaction may be that of another caller.
 _LAST_STATEMENT = compile_pattern(
     r'\b (?: LAST_INSERT_ID | ROW_COUNT | FOUND_ROWS ) \s* \( \s* \)',
     _FLAGS,
 )
-# A caller that could fence or promote a target would undo the failover.
+# A caller that fences or promotes a target would interfere with failover.
 _CONTROL_CALL = compile_pattern(
     r'group_ (?: status | fence | promote | follow ) \b',
     _FLAGS,
 )
-# A cheap look at the raw text, before anything is stripped.
-_SUSPICIONS = (';', '@', 'LOCK', 'TEMPORARY', 'CHAIN', 'RELEASE')
-_LAST_SUSPICIONS = ('LAST_INSERT_ID', 'ROW_COUNT', 'FOUND_ROWS')
+# Fast check of the raw text; only on a match is it stripped and parsed.
+_CHECKED_WORDS = (';', '@', 'LOCK', 'TEMPORARY', 'CHAIN', 'RELEASE')
+_LAST_STATEMENT_WORDS = ('LAST_INSERT_ID', 'ROW_COUNT', 'FOUND_ROWS')
 
-SEVERAL = (
+SEVERAL_STATEMENTS_REFUSAL = (
     'several statements in one are not run, as they could not have one '
     + 'outcome; send them one by one'
 )
-LEFT_BEHIND = (
+CONNECTION_STATE_REFUSAL = (
     'the statement would leave locks, variables, temporary tables or a '
     + 'transaction on a connection that other callers use; rewrite it '
     + 'without them'
 )
-CONTROL = (
+CONTROL_REFUSAL = (
     'the statement would change which target leads; ask an operator to '
     + 'change the labels of the target instead'
 )
-LAST_STATEMENT = (
+LAST_STATEMENT_REFUSAL = (
     'the function answers for the last statement of a connection that other '
     + 'callers use; take it from the answer itself, or use a transaction'
 )
 
 
 def find_refusal(sql: str, first_word: str) -> str:
-    """Tell why `sql` can't be run at all; empty when it can."""
-    if first_word in _LEAVING_WORDS:
-        return LEFT_BEHIND
+    """Return why `sql` cannot be run at all; empty if it can."""
+    if first_word in _CONNECTION_STATE_WORDS:
+        return CONNECTION_STATE_REFUSAL
     if first_word == 'CALL' and _CONTROL_CALL.search(sql):
-        return CONTROL
-    if contains_any(sql, _SUSPICIONS):
+        return CONTROL_REFUSAL
+    if contains_any(sql, _CHECKED_WORDS):
         return _find_in_code(strip_quoted(sql), first_word)
     return ''
 
 
 def find_single_refusal(sql: str) -> str:
-    """Tell why `sql` can't be run outside a transaction."""
-    if not contains_any(sql, _LAST_SUSPICIONS):
+    """Return why `sql` cannot be run outside a transaction; empty if it can."""
+    if not contains_any(sql, _LAST_STATEMENT_WORDS):
         return ''
     is_called = _LAST_STATEMENT.search(strip_quoted(sql))
-    return LAST_STATEMENT if is_called else ''
+    return LAST_STATEMENT_REFUSAL if is_called else ''
 
 
 def contains_any(sql: str, words: Iterable[str]) -> bool:
-    """Tell whether one of the upper-case words is in `sql` at all."""
+    """Return whether `sql` contains one of the upper-case words."""
     upper = sql.upper()
     return any(word in upper for word in words)
 
 
 def strip_quoted(sql: str) -> str:
-    """Empty all literals and quoted names, and drop all comments."""
+    """Replace literals and quoted names by '' and remove comments."""
     return _QUOTED.sub(_empty, sql)
 
 
 def drop_comments(sql: str) -> str:
-    """Drop all comments and keep literals and quoted names."""
+    """Remove comments but keep literals and quoted names."""
     return _QUOTED.sub(_drop, sql)
 
 
 def _find_in_code(code: str, first_word: str) -> str:
     if ';' in code.rstrip(' \t\r\n;'):
-        return SEVERAL
-    if first_word != 'SET' and _LEFT_BEHIND.search(code):
-        return LEFT_BEHIND
+        return SEVERAL_STATEMENTS_REFUSAL
+    if first_word != 'SET' and _CONNECTION_STATE.search(code):
+        return CONNECTION_STATE_REFUSAL
     return ''
 
 
--- a/src/sedgeshunt/requests/statements.py
+++ b/src/sedgeshunt/requests/statements.py
@@ -1,4 +1,4 @@
-"""Tell how a statement has to be routed, by its words alone."""
+"""Classify statements by their text to route them."""
 
 from dataclasses import dataclass
 from re import DOTALL, IGNORECASE, VERBOSE
@@ -15,14 +15,14 @@
     strip_quoted,
 )
 
-# Statements remembered, and the longest text worth remembering.
+# Number of cached statements and maximum length of a cached text.
 CACHE_SIZE = 4096
-CACHED_LENGTH = 1024
+MAX_CACHED_LENGTH = 1024
 
 _FLAGS = IGNORECASE | DOTALL | VERBOSE
 
-# An executable comment runs: a BEGIN inside it would open a transaction that
-# nobody knows of, so it counts by the word it holds.
+# The target runs executable comments. A BEGIN in one would open a transaction
+# unknown to the proxy, so the first word inside such a comment counts.
 _FIRST_WORD = compile_pattern(
     r"""
     (?: \s | \( | /\*!\d* | /\*.*?\*/ | --(?=\s)[^\n]* | \#[^\n]* )*+
@@ -55,7 +55,7 @@
     r'\b(?: FOR \s+ (?:UPDATE|SHARE) | LOCK \s+ IN \s+ SHARE | INTO )\b',
     _FLAGS,
 )
-_LOCKING_SUSPICIONS = ('FOR', 'LOCK', 'INTO')
+_LOCKING_WORDS = ('FOR', 'LOCK', 'INTO')
 _CHANGE_WORD = compile_pattern(
     r'\b(?:INSERT|UPDATE|DELETE|REPLACE|MERGE)\b',
     _FLAGS,
@@ -70,20 +70,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """Hold what one look at a statement's text tells."""
+    """Hold the kind of a statement and why it is refused, if it is."""
 
     kind: StatementKind
-    # Why it can't be run at all; empty when it can.
+    # Why it cannot be run at all; empty if it can.
     refusal: str = ''
-    # Why it can't be run outside a transaction; empty when it can.
+    # Why it cannot be run outside a transaction; empty if it can.
     single_refusal: str = ''
 
 
-_seen: dict[str, Statement] = {}
+_cache: dict[str, Statement] = {}
 
 
 def classify_statement(sql: str) -> StatementKind:
-    """Tell a statement's kind; what is not surely a read is a write."""
+    """Return the kind of a statement; a write unless it is surely a read."""
     return inspect_statement(sql).kind
 
 
@@ -92,7 +92,7 @@
     *,
     in_transaction: bool,
 ) -> Result[StatementKind, NotRun]:
-    """Tell a statement's kind, or why the proxy does not run it."""
+    """Return the kind of a statement, or why the proxy refuses it."""
     statement = inspect_statement(sql)
     reason = statement.refusal
     if not in_transaction:
@@ -103,20 +103,20 @@
 
 
 def inspect_statement(sql: str) -> Statement:
-    """Look at a statement's text, or recall what an equal one told."""
-    known = _seen.get(sql)
+    """Inspect a statement, using the cached result for an equal text."""
+    known = _cache.get(sql)
     if known is not None:
         return known
     statement = _inspect(sql)
-    if len(sql) <= CACHED_LENGTH:
-        if len(_seen) >= CACHE_SIZE:
-            _seen.clear()
-        _seen[sql] = statement
+    if len(sql) <= MAX_CACHED_LENGTH:
+        if len(_cache) >= CACHE_SIZE:
+            _cache.clear()
+        _cache[sql] = statement
     return statement
 
 
 def split_first_word(sql: str) -> tuple[str, str]:
-    """Return a statement's first word, in capitals, and what follows it."""
+    """Return the first word of a statement in upper case, and the rest."""
     word = _FIRST_WORD.match(sql)
     if word is None:
         return '', sql
@@ -128,7 +128,7 @@
     if word is None:
         return Statement(StatementKind.WRITE)
     first = word['first'].upper()
-    kind = _tell_kind(sql, first, word.end())
+    kind = _classify_kind(sql, first, word.end())
     if kind is StatementKind.SESSION and first not in _SESSION_WORDS:
         return Statement(kind)
     return Statement(
@@ -138,36 +138,36 @@
     )
 
 
-def _tell_kind(sql: str, first: str, end: int) -> StatementKind:
+def _classify_kind(sql: str, first: str, end: int) -> StatementKind:
     if first in _READING_WORDS:
-        return _tell_read(sql, first, end)
+        return _classify_read(sql, first, end)
     if first in _SESSION_WORDS:
         return StatementKind.SESSION
     if first in _TRANSACTION_WORDS:
-        return _tell_transaction(sql)
+        return _classify_transaction(sql)
     if first == 'WITH' and not _CHANGE_WORD.search(sql):
-        return _tell_read(sql, first, end)
+        return _classify_read(sql, first, end)
     return StatementKind.WRITE
 
 
-def _tell_read(sql: str, first: str, end: int) -> StatementKind:
+def _classify_read(sql: str, first: str, end: int) -> StatementKind:
     if first == 'SELECT' and _SESSION_READ.fullmatch(sql, end):
         return StatementKind.SESSION
     if first == 'SHOW' and _SESSION_SHOW.fullmatch(sql, end):
         return StatementKind.SESSION
-    # A replica would take no lock and leave no file: such reads are writes.
-    if not contains_any(sql, _LOCKING_SUSPICIONS):
+    # Locking reads and INTO require the primary, so they count as writes.
+    if not contains_any(sql, _LOCKING_WORDS):
         return StatementKind.READ
     is_locking = _LOCKING_READ.search(strip_quoted(sql))
     return StatementKind.WRITE if is_locking else StatementKind.READ
 
 
-def _tell_transaction(sql: str) -> StatementKind:
+def _classify_transaction(sql: str) -> StatementKind:
     words = strip_quoted(sql).upper().strip(' \t\r\n;').split()
     if words[0] == 'BEGIN' or words[:2] == ['START', 'TRANSACTION']:
         return StatementKind.BEGIN
-    # Undoing the whole transaction for ROLLBACK TO would lose more than the
-    # caller knows of; the savepoint is the target's to handle.
+    # ROLLBACK TO only undoes up to a savepoint, which the target handles.
+    # Rolling back the whole transaction would silently discard other writes.
     if words[0] == 'ROLLBACK' and 'TO' not in words[1:3]:
         return StatementKind.ROLLBACK
     if words[0] == 'COMMIT':
--- a/src/sedgeshunt/requests/target_service.py
+++ b/src/sedgeshunt/requests/target_service.py
@@ -1,4 +1,4 @@
-"""Serve one target: admission, connections and health in one place."""
+"""Run statements on one target, with its admission, pool and health."""
 
 from asyncio import Timeout, timeout_at
 from collections.abc import AsyncIterator, Callable
@@ -31,7 +31,7 @@
 
 SUPERSEDED_RETRY = Seconds(0.2)
 
-Check = Callable[[], bool]
+EligibilityCheck = Callable[[], bool]
 
 
 class TargetService:
@@ -44,24 +44,24 @@
         admission: TargetAdmission,
         health: TargetHealth,
     ) -> None:
-        """Bring together what one target needs."""
+        """Start with the target considered reachable."""
         self.target = target
         self.pool = pool
         self.admission = admission
         self.health = health
-        self._is_gone = False
+        self._is_unreachable = False
         self._in_flight: set[Timeout] = set()
 
     def mark_reachable(self) -> None:
-        """Take in that the target answers."""
-        self._is_gone = False
+        """Note that the target answers."""
+        self._is_unreachable = False
 
     def mark_unreachable(self) -> None:
-        """End every wait for a target that stopped answering."""
-        self._is_gone = True
-        # A frozen target breaks no connection, so its callers would wait
-        # until their deadlines. Their outcome is unknown at once, and what
-        # is safe to repeat runs elsewhere.
+        """End all waits for the target, which stopped answering."""
+        self._is_unreachable = True
+        # A frozen target keeps its connections open, so callers would wait
+        # until their deadlines. Instead their outcomes become unknown at
+        # once, and requests that are safe to retry run elsewhere.
         now = read_clock()
         for timeout in tuple(self._in_flight):
             timeout.reschedule(now)
@@ -76,8 +76,8 @@
         return outcome
 
     def is_free(self) -> bool:
-        """Tell whether a statement would be sent without any wait."""
-        if self._is_gone or self.target.is_leaving():
+        """Return whether a statement would be sent without waiting."""
+        if self._is_unreachable or self.target.is_leaving():
             return False
         return self.admission.has_room() and not self.health.is_suspected()
 
@@ -85,11 +85,11 @@
         self,
         request: Request,
         route: Route,
-        still_serves: Check | None = None,
+        is_still_eligible: EligibilityCheck | None = None,
     ) -> Result[Answer, Refusal]:
-        """Run one statement on a connection of its own.
+        """Run one statement on a connection from the pool.
 
-        Ask `still_serves` at the last moment before it is sent.
+        Call `is_still_eligible` immediately before the statement is sent.
         """
         admitted = await self.admission.admit(
             route.traffic_class,
@@ -100,46 +100,46 @@
             return self._name_target(admitted)
         permit = admitted.ok_value
         with permit.measure() as measured:
-            outcome = await self._run_admitted(request, still_serves)
+            outcome = await self._run_admitted(request, is_still_eligible)
             refusal = outcome.err()
             measured.ok = not isinstance(refusal, Unknown)
             if isinstance(refusal, NotRun):
-                # Nothing ran: the short time would make the target look
-                # quick, and draw more statements to it.
+                # Nothing ran. Measuring the short time would make the target
+                # appear fast and attract more statements.
                 permit.cancel()
             else:
                 self.health.note(measured.read_spent(), ok=measured.ok)
         return self._name_target(outcome)
 
     async def resize(self, share: int) -> None:
-        """Change how many connections and statements are allowed."""
+        """Change the limits of connections and statements."""
         self.admission.resize(share)
         await self.pool.resize(share)
 
     async def acquire(
         self, request: Request
     ) -> Result[AcquiredConnection, NotRun]:
-        """Lend a connection, unless the target is gone."""
-        if self._is_gone:
-            return Err(self._refuse_gone())
+        """Acquire a connection, unless the target is unreachable."""
+        if self._is_unreachable:
+            return Err(self._refuse_unreachable())
         idle = self.pool.acquire_idle()
         if idle is not None:
             return Ok(idle)
         try:
-            async with self._watch(request):
+            async with self._track_timeout(request):
                 return await self.pool.acquire(request.deadline)
         except TimeoutError:
-            return Err(self._refuse_gone())
+            return Err(self._refuse_unreachable())
 
     async def run_on(
         self,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
         sql: str,
     ) -> Result[Answer, Refusal]:
-        """Run `sql` on a lent connection and translate its failures."""
+        """Run `sql` on an acquired connection and convert its errors."""
         try:
-            return Ok(await self._execute(loan, request, sql))
+            return Ok(await self._execute(connection, request, sql))
         except TargetRejected as refusal:
             return Err(_describe_rejection(refusal))
         except TargetLost as loss:
@@ -155,24 +155,24 @@
     async def _run_admitted(
         self,
         request: Request,
-        still_serves: Check | None,
+        is_still_eligible: EligibilityCheck | None,
     ) -> Result[Answer, Refusal]:
-        lent = await self.acquire(request)
-        if isinstance(lent, Err):
-            return lent
-        async with lent.ok_value as loan:
-            if still_serves is not None and not still_serves():
+        acquired = await self.acquire(request)
+        if isinstance(acquired, Err):
+            return acquired
+        async with acquired.ok_value as connection:
+            if is_still_eligible is not None and not is_still_eligible():
                 return Err(self._refuse_stale())
-            return await self.run_on(loan, request, request.sql)
+            return await self.run_on(connection, request, request.sql)
 
     async def _execute(
-        self, loan: AcquiredConnection, request: Request, sql: str
+        self, connection: AcquiredConnection, request: Request, sql: str
     ) -> Answer:
-        async with self._watch(request):
-            return await loan.execute(sql)
+        async with self._track_timeout(request):
+            return await connection.execute(sql)
 
     @asynccontextmanager
-    async def _watch(self, request: Request) -> AsyncIterator[None]:
+    async def _track_timeout(self, request: Request) -> AsyncIterator[None]:
         async with timeout_at(request.deadline) as timeout:
             self._in_flight.add(timeout)
             try:
@@ -181,15 +181,15 @@
                 self._in_flight.discard(timeout)
 
     def _refuse_stale(self) -> NotRun:
-        # Data that was young enough when the target was chosen grows old
-        # while the read waits for its turn.
+        # The data may exceed the accepted age while the read waits for
+        # admission or a connection.
         return NotRun(
             Cause.TOO_STALE,
             f'target {self.target.name} fell behind while the read waited',
             SUPERSEDED_RETRY,
         )
 
-    def _refuse_gone(self) -> NotRun:
+    def _refuse_unreachable(self) -> NotRun:
         return NotRun(
             Cause.CONNECTION_LOST,
             f'target {self.target.name} stopped answering',
@@ -206,7 +206,7 @@
 
 def _describe_rejection(refusal: TargetRejected) -> Refusal:
     if isinstance(refusal, TargetReadOnly):
-        # The target proved that it no longer leads: nothing ran.
+        # The target reported that it is no longer primary, so nothing ran.
         reason = refusal.format_message()
         return NotRun(Cause.SUPERSEDED, reason, SUPERSEDED_RETRY)
     return Rejected(refusal.code, refusal.sqlstate, refusal.reason)
--- a/src/sedgeshunt/requests/transaction.py
+++ b/src/sedgeshunt/requests/transaction.py
@@ -1,4 +1,4 @@
-"""Own one connection from begin to end of a transaction."""
+"""Run transactions of callers, each on one connection."""
 
 from contextlib import AsyncExitStack
 from enum import Enum
@@ -27,27 +27,27 @@
 
 
 class TransactionState(Enum):
-    """Name how far a transaction has come."""
+    """Enumerate the states of a transaction."""
 
-    # Begun by the caller; no connection is held yet.
+    # Begun by the caller; no connection is acquired yet.
     DECLARED = 'declared'
     RUNNING = 'running'
-    # Its connection is gone; only an end is accepted.
+    # Its connection is lost; only COMMIT or ROLLBACK is accepted.
     LOST = 'lost'
     ENDED = 'ended'
 
 
 class Transaction:
-    """Run one caller's transaction on one connection."""
+    """Run the transaction of one caller on one connection."""
 
     def __init__(self, service: GroupService) -> None:
-        """Hold no connection before the first statement."""
+        """Acquire no connection before the first statement."""
         self.state = TransactionState.DECLARED
         self._service = service
         self._confirmation = Confirmation(service)
         self._ids = RequestIds(service, self._confirmation)
-        self._owned = AsyncExitStack()
-        self._loan: AcquiredConnection | None = None
+        self._resources = AsyncExitStack()
+        self._connection: AcquiredConnection | None = None
         self._target: TargetService | None = None
         self._request_id: RequestId | None = None
 
@@ -56,7 +56,7 @@
         request: Request,
         route: Route,
     ) -> Result[Answer, Refusal]:
-        """Run one statement inside the transaction."""
+        """Run one statement within the transaction."""
         if self.state is TransactionState.LOST:
             return Err(_refuse_lost())
         started = await self._start(request)
@@ -66,18 +66,18 @@
         outcome = await self._run_statement(request, request.sql, route)
         refusal = outcome.err()
         if self._is_undone(refusal):
-            # Going on would run the rest outside the transaction, as single
-            # statements that commit by themselves.
+            # Without this state, further statements would run outside the
+            # transaction and commit one by one.
             await self._mark_lost()
             return Err(_describe_loss(refusal))
         return outcome
 
     def note_request_id(self, request: Request) -> None:
-        """Keep the first id that any statement brings for the whole."""
+        """Use the first request id of any statement for the transaction."""
         self._request_id = self._request_id or request.request_id
 
     async def commit(self, request: Request) -> Result[Answer, Refusal]:
-        """Commit, and answer once the commit is durable."""
+        """Commit and return once the commit is durable."""
         if self.state is TransactionState.DECLARED:
             await self.abandon()
             return Ok(Answer())
@@ -90,26 +90,29 @@
             await self.abandon()
 
     async def rollback(self, request: Request) -> Result[Answer, Refusal]:
-        """Roll back; a lost transaction is rolled back already."""
-        loan, target = self._loan, self._target
-        if loan is not None and target is not None:
-            ended = await target.run_on(loan, request, 'ROLLBACK')
+        """Roll back, which for a lost transaction has already happened."""
+        connection, target = self._connection, self._target
+        if connection is not None and target is not None:
+            ended = await target.run_on(connection, request, 'ROLLBACK')
             if isinstance(ended, Err):
-                loan.invalidate()
+                connection.invalidate()
         self.state = TransactionState.ENDED
         await self.abandon()
         return Ok(Answer())
 
     async def abandon(self) -> None:
-        """Let go of the connection; an unfinished transaction closes it."""
-        # A connection with an open transaction must not be lent again: the
-        # next caller's statements would be committed or undone with it.
-        if self._loan is not None and self.state is not TransactionState.ENDED:
-            self._loan.invalidate()
+        """Release the connection; close it if the transaction is unfinished."""
+        # A connection with an open transaction must not be reused: statements
+        # of the next caller would be committed or rolled back with it.
+        if (
+            self._connection is not None
+            and self.state is not TransactionState.ENDED
+        ):
+            self._connection.invalidate()
         self.state = TransactionState.ENDED
-        self._loan = None
+        self._connection = None
         self._target = None
-        await self._owned.aclose()
+        await self._resources.aclose()
 
     async def _start(self, request: Request) -> Result[None, Refusal]:
         if self.state is TransactionState.RUNNING:
@@ -118,16 +121,18 @@
         if isinstance(found, Err):
             return found
         target = found.ok_value
-        lent = await target.acquire(request)
-        if isinstance(lent, Err):
-            return lent
-        loan = await self._owned.enter_async_context(lent.ok_value)
-        begun = await target.run_on(loan, request, 'BEGIN')
+        acquired = await target.acquire(request)
+        if isinstance(acquired, Err):
+            return acquired
+        connection = await self._resources.enter_async_context(
+            acquired.ok_value
+        )
+        begun = await target.run_on(connection, request, 'BEGIN')
         if isinstance(begun, Err):
-            loan.invalidate()
-            await self._owned.aclose()
+            connection.invalidate()
+            await self._resources.aclose()
             return Err(_describe_loss(begun.err_value))
-        self._loan = loan
+        self._connection = connection
         self._target = target
         self.state = TransactionState.RUNNING
         return Ok(None)
@@ -138,8 +143,8 @@
         sql: str,
         route: Route,
     ) -> Result[Answer, Refusal]:
-        loan, target = self._loan, self._target
-        if loan is None or target is None:
+        connection, target = self._connection, self._target
+        if connection is None or target is None:
             return Err(_refuse_lost())
         admitted = await target.admission.admit(
             route.traffic_class,
@@ -149,7 +154,7 @@
         if isinstance(admitted, Err):
             return admitted
         with admitted.ok_value.measure() as measured:
-            outcome = await target.run_on(loan, request, sql)
+            outcome = await target.run_on(connection, request, sql)
             measured.ok = not isinstance(outcome.err(), Unknown)
         return outcome
 
@@ -158,73 +163,75 @@
             request,
             request_id=self._request_id or request.request_id,
         )
-        loan, target = self._loan, self._target
-        if loan is None or target is None:
+        connection, target = self._connection, self._target
+        if connection is None or target is None:
             return Err(_refuse_lost())
         recorded = await self._ids.record(
             target,
-            loan,
+            connection,
             request,
             Answer(),
         )
         if isinstance(recorded, Err):
-            return await self._explain(target, loan, request, recorded)
-        committed = await target.run_on(loan, request, 'COMMIT')
+            return await self._explain_rejection(
+                target, connection, request, recorded
+            )
+        committed = await target.run_on(connection, request, 'COMMIT')
         if isinstance(committed, Ok):
             self.state = TransactionState.ENDED
             committed = await self._confirmation.confirm(
                 request,
                 committed.ok_value,
             )
-        return await self._settle(request, committed)
+        return await self._resolve(request, committed)
 
-    async def _settle(
+    async def _resolve(
         self,
         request: Request,
         committed: Result[Answer, Refusal],
     ) -> Result[Answer, Refusal]:
         refusal = committed.err()
         if isinstance(refusal, Unknown) and request.request_id:
-            return await self._ids.settle(request, refusal)
+            return await self._ids.resolve(request, refusal)
         return committed
 
-    async def _explain(
+    async def _explain_rejection(
         self,
         target: TargetService,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
         recorded: Err[Refusal],
     ) -> Result[Answer, Refusal]:
         refusal = recorded.err_value
         if not isinstance(refusal, Rejected) or request.request_id is None:
             return Err(_describe_loss(refusal))
-        # The id is there already: an earlier run of this transaction was
-        # committed, and this one must leave nothing.
-        undone = await target.run_on(loan, request, 'ROLLBACK')
+        # The id already exists: an earlier run of this transaction was
+        # committed, so this one must be rolled back.
+        undone = await target.run_on(connection, request, 'ROLLBACK')
         if isinstance(undone, Err):
             return Err(_describe_loss(undone.err_value))
         self.state = TransactionState.ENDED
-        recalled = await self._ids.recall(
+        stored = await self._ids.find_result(
             target,
-            loan,
+            connection,
             request,
             request.request_id,
         )
-        return recorded if recalled is None else recalled
+        return recorded if stored is None else stored
 
     def _is_undone(self, refusal: Refusal | None) -> bool:
-        if self._loan is None or not self._loan.is_clean:
+        if self._connection is None or not self._connection.is_clean:
             return True
         if not isinstance(refusal, NotRun):
             return False
         return refusal.cause is Cause.SUPERSEDED
 
     async def _mark_lost(self) -> None:
-        if self._loan is not None:
-            self._loan.invalidate()
-        self._loan = None
+        if self._connection is not None:
+            self._connection.invalidate()
+        self._connection = None
         self._target = None
-        await self._owned.aclose()
+        await self._resources.aclose()
         self.state = TransactionState.LOST
 
 
@@ -237,7 +244,7 @@
 
 
 def _describe_loss(refusal: Refusal | None) -> Refusal:
-    # No COMMIT was sent: the target undoes all of it with the connection.
+    # No COMMIT was sent, so the target rolls back when the connection closes.
     if isinstance(refusal, NotRun | Unknown):
         reason = f'{refusal.reason}; the transaction was undone'
         return NotRun(Cause.TRANSACTION_LOST, reason, LOST_RETRY)
--- a/src/sedgeshunt/requests/writes.py
+++ b/src/sedgeshunt/requests/writes.py
@@ -1,4 +1,4 @@
-"""Run writes on the current primary, at most once where that is asked."""
+"""Run writes on the current primary and retry them where that is safe."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -24,21 +24,21 @@
 
 
 def is_repeatable(request: Request) -> bool:
-    """Tell whether the request may be sent a second time."""
+    """Return whether the request is safe to retry after an unknown outcome."""
     return request.idempotent or request.request_id is not None
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRunner:
-    """Carry one write to its outcome."""
+    """Run the writes of one group."""
 
     service: GroupService
     confirmation: Confirmation
     ids: RequestIds
 
     @classmethod
-    def of(cls, service: GroupService) -> Self:
-        """Make a runner for one group."""
+    def for_group(cls, service: GroupService) -> Self:
+        """Create a runner for one group."""
         confirmation = Confirmation(service)
         return cls(service, confirmation, RequestIds(service, confirmation))
 
@@ -47,22 +47,22 @@
         request: Request,
         route: Route,
     ) -> Result[Answer, Refusal]:
-        """Run the write, again on the next primary where that is safe."""
-        unsure: Unknown | None = None
+        """Run the write; retry it on the next primary where that is safe."""
+        unknown: Unknown | None = None
         while True:
             found = await self.service.find_primary(request.deadline)
             if isinstance(found, Err):
-                return Err(unsure or found.err_value)
+                return Err(unknown or found.err_value)
             outcome = await self._attempt(found.ok_value, request, route)
             if isinstance(outcome, Ok):
                 return outcome
             refusal = outcome.err_value
-            # An attempt that may have run outweighs every later proof that
-            # another one did not.
+            # Once an attempt may have run, the outcome stays unknown even if a
+            # later attempt certainly did not run.
             if isinstance(refusal, Unknown):
-                unsure = refusal
+                unknown = refusal
             if not await self._may_repeat(request, refusal):
-                return Err(unsure or refusal)
+                return Err(unknown or refusal)
 
     async def _attempt(
         self,
@@ -92,34 +92,38 @@
         if isinstance(admitted, Err):
             return admitted
         with admitted.ok_value.measure() as measured:
-            lent = await service.acquire(request)
-            if isinstance(lent, Err):
-                return lent
-            async with lent.ok_value as loan:
-                outcome = await self._run_transaction(service, loan, request)
+            acquired = await service.acquire(request)
+            if isinstance(acquired, Err):
+                return acquired
+            async with acquired.ok_value as connection:
+                outcome = await self._run_transaction(
+                    service, connection, request
+                )
             measured.ok = not isinstance(outcome.err(), Unknown)
         return outcome
 
     async def _run_transaction(
         self,
         service: TargetService,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
     ) -> Result[Answer, Refusal]:
-        begun = await service.run_on(loan, request, 'BEGIN')
+        begun = await service.run_on(connection, request, 'BEGIN')
         if isinstance(begun, Err):
             return Err(_note_not_run(begun.err_value))
-        outcome = await service.run_on(loan, request, request.sql)
+        outcome = await service.run_on(connection, request, request.sql)
         if isinstance(outcome, Ok):
             outcome = await self.ids.record(
                 service,
-                loan,
+                connection,
                 request,
                 outcome.ok_value,
             )
         if isinstance(outcome, Err):
-            return await self._undo(service, loan, request, outcome.err_value)
-        committed = await service.run_on(loan, request, 'COMMIT')
+            return await self._undo(
+                service, connection, request, outcome.err_value
+            )
+        committed = await service.run_on(connection, request, 'COMMIT')
         if isinstance(committed, Err):
             return committed
         answer = outcome.ok_value
@@ -135,30 +139,31 @@
     async def _undo(
         self,
         service: TargetService,
-        loan: AcquiredConnection,
+        connection: AcquiredConnection,
         request: Request,
         refusal: Refusal,
     ) -> Result[Answer, Refusal]:
-        """Roll back, and see whether an earlier run explains the refusal."""
-        # No COMMIT was sent, so the target drops the transaction when its
-        # connection closes: nothing of it can ever be kept.
-        if not loan.is_clean:
+        """Roll back and return the result of an earlier run, if any."""
+        # No COMMIT was sent, so the target rolls back the transaction when
+        # its connection closes.
+        if not connection.is_clean:
             return Err(_note_not_run(refusal))
-        rolled_back = await service.run_on(loan, request, 'ROLLBACK')
+        rolled_back = await service.run_on(connection, request, 'ROLLBACK')
         if isinstance(rolled_back, Err):
-            loan.invalidate()
+            connection.invalidate()
             return Err(_note_not_run(refusal))
         if isinstance(refusal, Rejected) and request.request_id:
-            # A repeat meets its own first run in the caller's unique keys
-            # or in the id's: both mean that the first run's result stands.
-            recalled = await self.ids.recall(
+            # A retry conflicts with its first run on a unique key, either of
+            # the caller's data or of the request id. In both cases the first
+            # run's result is returned.
+            stored = await self.ids.find_result(
                 service,
-                loan,
+                connection,
                 request,
                 request.request_id,
             )
-            if recalled is not None:
-                return recalled
+            if stored is not None:
+                return stored
         return Err(refusal)
 
     async def _may_repeat(self, request: Request, refusal: Refusal) -> bool:
@@ -171,7 +176,9 @@
                 Cause.SUPERSEDED,
                 Cause.CONNECTION_LOST,
             }
-        return repeatable and await self.service.may_retry(request.deadline)
+        return repeatable and await self.service.wait_for_retry(
+            request.deadline
+        )
 
 
 def _note_not_run(refusal: Refusal) -> Refusal:
