--- a/tests/features/attributes.feature
+++ b/tests/features/attributes.feature
@@ -1,6 +1,6 @@
-Feature: A statement and its attributes say how a request is routed
+Feature: Statements and their attributes determine how requests are routed
 
-  Scenario: Statements are told apart by their words
+  Scenario: Statements are classified by their keywords
     Then the statements are of these kinds
       | kind     | statement                                         |
       | READ     | SELECT 1                                          |
@@ -22,10 +22,10 @@
       | SESSION  | SELECT @@version AS v, DATABASE() LIMIT 1         |
       | SESSION  | SELECT @sedgeshunt_session_token                  |
 
-  Scenario: Nothing is left behind on a connection that others use
+  Scenario: Statements that leave state on a shared connection are refused
     A statement that would leave locks, variables, temporary tables or an open
-    transaction on a connection is refused before it is sent. Otherwise the
-    next caller on that connection would meet them.
+    transaction on a connection is refused before it is sent. Otherwise they
+    would affect the next caller on that connection.
     Then these statements are refused
       | statement                                   |
       | SELECT 1; DELETE FROM queue                 |
@@ -42,18 +42,18 @@
       | statement                                   |
       | INSERT INTO turns VALUES (LAST_INSERT_ID()) |
 
-  Scenario: The nearest word about a request counts
+  Scenario: The most specific source of an attribute takes precedence
     Given a session with connect attribute "sedgeshunt_traffic_class" of "batch"
     And its connect attribute "sedgeshunt_deadline_ms" is "900"
     And its variable "sedgeshunt_deadline_ms" is "800"
     And its variable "sedgeshunt_accepted_age_ms" is "50"
-    When it asks /*accepted_age_ms='70',idempotent='true'*/ SELECT 1
+    When it sends /*accepted_age_ms='70',idempotent='true'*/ SELECT 1
     And it adds the query attribute "idempotent" of "false"
     Then the request is of class "batch", 0.8 s, 0.07 s old and not idempotent
 
-  Scenario: Comments of others are let through, ours are read at both ends
-    Libraries write comments of their own, some at the end. An id overlooked
-    there would let a repeat run twice.
+  Scenario: Attributes are read from leading and trailing comments only
+    Client libraries write comments of their own, which are ignored, and some
+    append attributes. A request id missed there would let a retry run twice.
     Then these comments carry the request id "a:1"
       | statement                                         |
       | /*request_id='a%3A1'*/ INSERT INTO queue VALUES 1 |
@@ -65,10 +65,9 @@
       | /*!50001 SELECT */ 1                              |
       | SELECT '/*request_id=' FROM queue                 |
 
-  Scenario: What can't be read is refused, never dropped
-    The caller gets an error that names the attribute and what it takes. An id
-    or a deadline that was dropped in silence would break the caller's trust
-    later, when a repeat runs twice.
+  Scenario: Malformed attributes are refused, not ignored
+    The caller gets an error that names the attribute and its format. If a
+    malformed request id were ignored, a retry could run twice.
     Then these requests are refused naming
       | named           | statement                                 |
       | accepted_age_ms | /*accepted_age_ms='old'*/ SELECT 1        |
--- a/tests/features/repeats.feature
+++ b/tests/features/repeats.feature
@@ -1,23 +1,23 @@
-Feature: A repeated request tells the truth about its first run
+Feature: A retried request reports the true outcome of its first run
 
-  Scenario: The first run is found on a primary that loses its place
-    A caller repeats a request by its id. The proxy finds the first run on a
-    primary that nobody copied it from; before it has read that primary's log
-    end, another one is promoted and the old one follows it and drops the
-    run. The new log end is durable, yet it says nothing of the run: the
-    caller may be told "done" only because the request ran anew.
+  Scenario: The first run is found on a primary that is then replaced
+    A caller retries a request with the same id. The proxy finds the first
+    run on the primary, but no replica has it. Before the proxy reads the log
+    end, another target is promoted, and the old primary follows it and
+    discards the run. The log end that is read then is durable but does not
+    cover the run, so "done" is correct only if the request runs again.
 
-    Given a first run that only the primary holds
-    When the request is repeated and the primary is replaced as the run is found
-    Then the caller is told "done"
-    And the run is once on the current primary
+    Given a first run that has not been replicated from the primary
+    When the request is retried and the primary is replaced after the lookup
+    Then the caller gets the outcome "done"
+    And the write is on the current primary exactly once
 
-  Scenario: A connection is awaited from a target that froze
-    A caller writes for the first time, so a connection is opened. The target
-    freezes before it answers: no connection breaks, nothing is refused. The
-    wait must end when the target is suspected, and the write must be done by
-    the next primary long before the caller's deadline.
+  Scenario: A target freezes while a connection to it is opened
+    A caller's first write opens a connection, and the target freezes before it
+    answers, so the attempt neither fails nor is refused. Once the target is
+    suspected, the wait must end, and the write must run on the next primary
+    long before the caller's deadline.
 
-    Given a proxy with no connection yet to a primary that just froze
+    Given a proxy without a connection to the primary, which has frozen
     When an idempotent write with a deadline of 20 s is sent
     Then it is done within 4 s
--- a/tests/features/steps/attributes_steps.py
+++ b/tests/features/steps/attributes_steps.py
@@ -1,4 +1,4 @@
-"""Check how statements and their attributes are read."""
+"""Check how statements are classified and their attributes parsed."""
 
 from typing import Any
 
@@ -56,8 +56,8 @@
     context.variables[name] = text
 
 
-@when('it asks {sql}')
-def ask(context: Any, sql: str) -> None:
+@when('it sends {sql}')
+def send(context: Any, sql: str) -> None:
     context.sql = sql
 
 
--- a/tests/features/steps/read_steps.py
+++ b/tests/features/steps/read_steps.py
@@ -1,4 +1,4 @@
-"""Check how reads find their target."""
+"""Check how reads choose their targets."""
 
 from asyncio import Runner, create_task, sleep
 from typing import Any
@@ -15,30 +15,30 @@
 from tests.ledger import LATENESS
 from tests.virtual_time import make_loop
 
-PATIENCE = 0.05
+REPLICA_WAIT = 0.05
 WRITE_DEADLINE = 0.2
-READING_ERROR = 1e-6
+CLOCK_TOLERANCE = 1e-6
 
 
-class LookCounter:
-    """Count the rankings and stop a loop that never ends."""
+class RankingCounter:
+    """Count the rankings of targets and fail on an endless loop."""
 
     def __init__(self) -> None:
         """Start at zero."""
-        self.looks = 0
+        self.rankings = 0
         self._rank = GroupService.rank
 
     def rank(self, service: GroupService, *needs: Any, **options: Any) -> Any:
-        """Rank as the product does."""
-        self.looks += 1
-        if self.looks > 10_000:
-            raise AssertionError('the read looks for a target without end')
+        """Count the call and run the original method."""
+        self.rankings += 1
+        if self.rankings > 10_000:
+            raise AssertionError('the read ranks targets in an endless loop')
         return self._rank(service, *needs, **options)
 
 
 async def read_in_failure(lag: float, deadline: float) -> tuple[float, int]:
-    """Return how long the read took and how often it looked."""
-    counter = LookCounter()
+    """Return the duration of the read and the number of rankings."""
+    counter = RankingCounter()
     async with Deployment(Profile(lag=lag, proxies=1)) as deployment:
         group = next(iter(deployment.groups.values()))
         caller = deployment.open_caller()
@@ -61,30 +61,30 @@
                 lambda *needs, **options: counter.rank(*needs, **options),
             ),
             patch.object(
-                GroupService, 'find_replica_wait', return_value=PATIENCE
+                GroupService, 'find_replica_wait', return_value=REPLICA_WAIT
             ),
         ):
             started = read_clock()
             reading = create_task(
                 caller.ask('SELECT ref FROM turns', deadline=deadline),
             )
-            await sleep(PATIENCE / 5)
+            await sleep(REPLICA_WAIT / 5)
             primary.kill()
             await reading
-            return read_clock() - started, counter.looks
+            return read_clock() - started, counter.rankings
 
 
 @given(
     'replicas that lag by {lag:d} s and a token that only the primary covers'
 )
-def declare_lag(context: Any, lag: int) -> None:
-    """Keep the lag for the deployment."""
+def set_lag(context: Any, lag: int) -> None:
+    """Store the lag for the deployment."""
     context.lag = lag
 
 
 @when(
-    'a read with a deadline of {deadline:d} s begins and the primary dies in '
-    'its wait',
+    'a read with a deadline of {deadline:d} s waits for a replica and the '
+    'primary is killed',
 )
 def read_through_failure(context: Any, deadline: int) -> None:
     """Run the read in virtual time."""
@@ -92,7 +92,7 @@
     with Runner(loop_factory=make_loop) as runner:
         measured = runner.run(read_in_failure(context.lag, deadline))
     context.spent = measured[0]
-    context.looks = measured[1]
+    context.rankings = measured[1]
 
 
 @then('the read is answered by its deadline')
@@ -101,22 +101,22 @@
     assert context.spent <= context.deadline + LATENESS, context.spent
 
 
-@then('the proxy looked for a target fewer than {limit:d} times')
-def check_looks(context: Any, limit: int) -> None:
+@then('the proxy ranked the targets fewer than {limit:d} times')
+def check_rankings(context: Any, limit: int) -> None:
     """Compare the number of rankings with the limit."""
-    assert context.looks < limit, context.looks
+    assert context.rankings < limit, context.rankings
 
 
 async def read_in_overload(lag: float, deadline: float) -> tuple[Any, float]:
-    """Read while the targets that may serve are full."""
+    """Read while all eligible targets refuse admission."""
     async with Deployment(Profile(proxies=1)) as deployment:
         group = next(iter(deployment.groups.values()))
         caller = deployment.open_caller()
         await caller.connect('p1')
-        behind = list(group.databases.values())[-1]
-        behind.set_lag(lag)
+        lagging = list(group.databases.values())[-1]
+        lagging.set_lag(lag)
         await caller.ask("INSERT INTO turns (ref) VALUES ('a')")
-        with patch.object(TargetAdmission, 'admit', refuse_at_door):
+        with patch.object(TargetAdmission, 'admit', refuse_admission):
             started = read_clock()
             outcome = await caller.ask(
                 'SELECT ref FROM turns',
@@ -125,15 +125,15 @@
             return outcome, read_clock() - started
 
 
-async def refuse_at_door(*_: Any) -> Any:
-    """Refuse as a full target does."""
+async def refuse_admission(*_: Any) -> Any:
+    """Refuse as an overloaded target does."""
     return Err(NotRun(Cause.OVERLOAD, 'full'))
 
 
 @given(
-    'a replica that lags by {lag:d} s and two targets that refuse at the door',
+    'a replica that lags by {lag:d} s and two targets that refuse admission',
 )
-def declare_overload(context: Any, lag: int) -> None:
+def set_overload(context: Any, lag: int) -> None:
     """Keep the lag for the deployment."""
     context.lag = lag
 
@@ -149,12 +149,12 @@
 
 @then('it is refused before any time has passed')
 def check_refusal(context: Any) -> None:
-    """Look at the outcome; virtual time stands still without a wait."""
+    """Check the outcome; virtual time only advances while waiting."""
     assert isinstance(context.outcome.err(), NotRun), context.outcome
-    assert context.spent < READING_ERROR, context.spent
+    assert context.spent < CLOCK_TOLERANCE, context.spent
 
 
 @then('the refusal names the target that it came from')
 def check_target(context: Any) -> None:
-    """Look at the target, by which reports count causes."""
+    """Check the target, by which reports group causes."""
     assert context.outcome.err().target is not None, context.outcome
--- a/tests/features/steps/repeat_steps.py
+++ b/tests/features/steps/repeat_steps.py
@@ -1,4 +1,4 @@
-"""Check what repeated requests and waiting connections come to."""
+"""Check the outcomes of retried requests and of connection attempts."""
 
 from asyncio import Runner
 from typing import Any
@@ -29,8 +29,8 @@
     old.follow(NEXT_TERM, new.name)
 
 
-async def repeat_through_failover(context: Any) -> None:
-    """Repeat a request whose first run is lost as it is found."""
+async def retry_through_failover(context: Any) -> None:
+    """Retry a request whose first run is lost while it is looked up."""
     async with Deployment(Profile(lag=3, proxies=1)) as deployment:
         group = next(iter(deployment.groups.values()))
         caller = deployment.open_caller()
@@ -52,7 +52,7 @@
 
 
 async def write_to_frozen(deadline: float) -> tuple[Any, float]:
-    """Write to a primary that froze before any connection was open."""
+    """Write to a primary that froze before a connection was opened."""
     async with Deployment(Profile(proxies=1)) as deployment:
         group = next(iter(deployment.groups.values()))
         caller = deployment.open_caller()
@@ -70,20 +70,20 @@
     return await caller.ask(INSERT, deadline=deadline, request_id='a')
 
 
-@given('a first run that only the primary holds')
-@given('a proxy with no connection yet to a primary that just froze')
-def lay_out(context: Any) -> None:
-    """Leave the layout to the step that runs it in virtual time."""
+@given('a first run that has not been replicated from the primary')
+@given('a proxy without a connection to the primary, which has frozen')
+def prepare(context: Any) -> None:
+    """Leave the setup to the step that runs in virtual time."""
     context.copies = []
 
 
 @when(
-    'the request is repeated and the primary is replaced as the run is found',
+    'the request is retried and the primary is replaced after the lookup',
 )
-def repeat(context: Any) -> None:
-    """Run the repeat."""
+def retry(context: Any) -> None:
+    """Run the retry."""
     with Runner(loop_factory=make_loop) as runner:
-        runner.run(repeat_through_failover(context))
+        runner.run(retry_through_failover(context))
 
 
 @when('an idempotent write with a deadline of {deadline:d} s is sent')
@@ -95,20 +95,20 @@
     context.spent = written[1]
 
 
-@then('the caller is told "done"')
-def check_told(context: Any) -> None:
-    """Look at the outcome."""
+@then('the caller gets the outcome "done"')
+def check_outcome(context: Any) -> None:
+    """Check the outcome."""
     assert context.outcome.is_ok(), context.outcome
 
 
-@then('the run is once on the current primary')
+@then('the write is on the current primary exactly once')
 def check_copies(context: Any) -> None:
-    """Compare the copies in the new primary's database."""
+    """Count the rows in the database of the new primary."""
     assert context.copies[-1] == 1, context.copies
 
 
 @then('it is done within {limit:d} s')
 def check_done(context: Any, limit: int) -> None:
-    """Look at outcome and time in virtual seconds."""
+    """Check the outcome and the time in virtual seconds."""
     assert context.outcome.is_ok(), context.outcome
     assert context.spent < limit, context.spent
