--- a/tests/features/steps/attributes_steps.py
+++ b/tests/features/steps/attributes_steps.py
@@ -1,4 +1,4 @@
-"""Check how statements and their attributes are read."""
+"""Check how statements are classified and their attributes parsed."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 from sedgeshunt.requests.attributes import (
     read_attributes,
     read_connect_attributes,
-    read_prefixed,
+    read_prefixed_attributes,
 )
 from sedgeshunt.requests.outcome import Cause
 from sedgeshunt.requests.request import StatementKind
@@ -56,8 +56,8 @@
     context.variables[name] = text
 
 
-@when('it asks {sql}')
-def ask(context: Any, sql: str) -> None:
+@when('it sends {sql}')
+def send(context: Any, sql: str) -> None:
     context.sql = sql
 
 
@@ -72,7 +72,7 @@
 )
 def check_request(context: Any, name: str, deadline: float, age: float) -> None:
     base = read_connect_attributes(context.connect).unwrap()
-    defaults = read_prefixed(context.variables, base).unwrap()
+    defaults = read_prefixed_attributes(context.variables, base).unwrap()
     found = read_attributes(context.query, context.sql, defaults).unwrap()
     assert found.traffic_class == name
     assert found.deadline == deadline
