--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -12,12 +12,12 @@
 
 # A target that is replaced is listed again within seconds, one that is cut
 # off within some tens; one that is gone for good must not stop replacements.
-FORGET_AFTER = Seconds(30)
+FORGET_DELAY = Seconds(30)
 # The store or the replicas may be out of reach for some time.
-RETRY_AFTER = Seconds(2)
+RETRY_DELAY = Seconds(2)
 
 
-class CopyNotes:
+class CopyRecorder:
     """Note the places of copies in the group's record while one owns it.
 
     Safeguard: a replica that can't reach the store loses its entry there and
@@ -29,18 +29,18 @@
 
     def __init__(
         self,
-        reign: Reign,
+        ownership: Reign,
         records: GroupRecords,
         connector: TargetSessionConnector,
     ) -> None:
         """Note on behalf of `reign`."""
-        self._reign = reign
+        self._ownership = ownership
         self._records = records
         self._connector = connector
         self._absent_since: dict[CopyPlace, Monotonic] = {}
         self._paused_until = Monotonic(0)
 
-    async def keep(
+    async def update(
         self,
         members: GroupMembers,
         executor: TargetExecutor,
@@ -50,16 +50,16 @@
             return
         if read_clock() < self._paused_until:
             return
-        noted = self._records.find_copies(self._reign.group)
+        recorded = self._records.find_copies(self._ownership.group)
         listed = list_places(members)
-        gone = self._find_gone(noted - listed)
-        if listed - noted:
-            await self._note(noted | listed)
+        gone = self._find_gone(recorded - listed)
+        if listed - recorded:
+            await self._record(recorded | listed)
         elif gone and await self._is_covered(members, executor):
-            await self._note(noted - gone)
+            await self._record(recorded - gone)
 
-    async def _note(self, places: frozenset[CopyPlace]) -> None:
-        if not await self._records.note_copies(self._reign, places):
+    async def _record(self, max_running: frozenset[CopyPlace]) -> None:
+        if not await self._records.note_copies(self._ownership, max_running):
             self._pause()
 
     def _find_gone(self, absent: frozenset[CopyPlace]) -> frozenset[CopyPlace]:
@@ -70,7 +70,7 @@
         return frozenset(
             place
             for place, since in self._absent_since.items()
-            if now - since > FORGET_AFTER
+            if now - since > FORGET_DELAY
         )
 
     async def _is_covered(
@@ -92,4 +92,4 @@
         return False
 
     def _pause(self) -> None:
-        self._paused_until = Monotonic(read_clock() + RETRY_AFTER)
+        self._paused_until = Monotonic(read_clock() + RETRY_DELAY)
--- a/src/sedgeshunt/execution/quiet.py
+++ b/src/sedgeshunt/execution/draining.py
@@ -8,20 +8,22 @@
 
 # Transactions that are open when a primary is given up on purpose get so long:
 # most statements take less.
-ENDING_WAIT = Seconds(0.15)
-POLL_EVERY = Seconds(0.005)
+DRAIN_TIMEOUT = Seconds(0.15)
+POLL_INTERVAL = Seconds(0.005)
 
 
-async def wait_quiet(executor: TargetExecutor, give_up: Monotonic) -> None:
+async def wait_no_transactions(
+    executor: TargetExecutor, give_up_at: Monotonic
+) -> None:
     """Wait for a moment without transactions, until a failure at most."""
-    while executor.transactions and read_clock() < give_up:
+    while executor.transactions and read_clock() < give_up_at:
         if executor.failed.is_set():
             return
-        await sleep(POLL_EVERY)
+        await sleep(POLL_INTERVAL)
 
 
-async def wait_end(executor: TargetExecutor) -> None:
+async def wait_drained(executor: TargetExecutor) -> None:
     """Wait a moment for what is under way to end."""
-    give_up = Monotonic(read_clock() + ENDING_WAIT)
-    while executor.is_busy() and read_clock() < give_up:
-        await sleep(POLL_EVERY)
+    give_up_at = Monotonic(read_clock() + DRAIN_TIMEOUT)
+    while executor.is_busy() and read_clock() < give_up_at:
+        await sleep(POLL_INTERVAL)
--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.execution.group_owner import GroupOwner
 from sedgeshunt.execution.primary_context import PrimaryContext
-from sedgeshunt.execution.primary_keeper import PrimaryKeeper
+from sedgeshunt.execution.primary_manager import PrimaryManager
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.replica_reader import ReplicaReader
@@ -22,7 +22,7 @@
 from sedgeshunt.statements.call import Access, StatementCall
 
 # The operator's limit is some seconds.
-IDLE_LOOK = Seconds(0.5)
+IDLE_CHECK_INTERVAL = Seconds(0.5)
 MILLISECONDS = 1000
 NOT_OWNER_RETRY = Seconds(0.1)
 
@@ -53,7 +53,7 @@
             owned.push_async_callback(self.reader.close)
             tasks = await owned.enter_async_context(TaskGroup())
             tasks.create_task(self.probe.run(lambda: self.claim.is_pressing))
-            tasks.create_task(self._end_idle())
+            tasks.create_task(self._abort_idle())
             while True:
                 await self._serve(await self.claim.wait_reign())
 
@@ -75,7 +75,9 @@
     ) -> Result[Answer, Refusal]:
         """Run a call here."""
         if call.transaction is not None and not call.begins:
-            return await self._continue(call, transactions, deadline)
+            return await self._continue_transaction(
+                call, transactions, deadline
+            )
         if call.access is Access.REPLICA:
             return await self.reader.run_call(call, transactions, deadline)
         if self.owner is None:
@@ -88,13 +90,13 @@
             )
         return await self.owner.run_call(call, transactions, deadline)
 
-    async def _serve(self, reign: Reign) -> None:
+    async def _serve(self, ownership: Reign) -> None:
         state = PrimaryState(self.group)
         owner = GroupOwner(
-            reign,
+            ownership,
             state,
-            PrimaryKeeper(
-                reign, state, self.probe, self._parts, self.freshness
+            PrimaryManager(
+                ownership, state, self.probe, self._parts, self.freshness
             ),
             self.freshness,
         )
@@ -102,27 +104,27 @@
         try:
             async with TaskGroup() as tasks:
                 serving = tasks.create_task(owner.run())
-                await self.claim.hold(reign)
+                await self.claim.hold(ownership)
                 self.owner = None
                 state.wake()
                 serving.cancel()
         finally:
-            reign.end()
+            ownership.end()
             self.owner = None
 
-    async def _end_idle(self) -> None:
+    async def _abort_idle(self) -> None:
         """Undo transactions whose callers have stopped in the middle."""
         # Each keeps a connection and, at some databases, locks.
         while True:
-            await sleep(IDLE_LOOK)
+            await sleep(IDLE_CHECK_INTERVAL)
             members = self._parts.configuration.find_members(self.group)
             if members is None or not members.group.transaction_idle_ms:
                 continue
             limit = members.group.transaction_idle_ms / MILLISECONDS
             for executor in self.list_executors():
-                await executor.end_idle(Seconds(limit))
+                await executor.abort_idle(Seconds(limit))
 
-    async def _continue(
+    async def _continue_transaction(
         self,
         call: StatementCall,
         transactions: TransactionTable,
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_boottime
 from sedgeshunt.execution.hedging import Hedger
-from sedgeshunt.execution.primary_keeper import PrimaryKeeper
+from sedgeshunt.execution.primary_manager import PrimaryManager
 from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.runner import (
     begin_transaction,
@@ -17,7 +17,7 @@
 from sedgeshunt.execution.transactions import (
     OpenTransaction,
     TransactionTable,
-    TransactionPlace,
+    TransactionExecutor,
 )
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds, TransactionId
@@ -42,30 +42,30 @@
 
     def __init__(
         self,
-        reign: Reign,
+        ownership: Reign,
         state: PrimaryState,
-        keeper: PrimaryKeeper,
+        manager: PrimaryManager,
         freshness: FreshnessProof,
     ) -> None:
         """Serve nothing before run() has found the primary."""
-        self.reign = reign
+        self.ownership = ownership
         self._state = state
-        self._keeper = keeper
+        self._manager = manager
         self._freshness = freshness
         self._hedger = Hedger(is_last_resort=True)
 
     @property
     def group(self) -> GroupId:
         """Name the group."""
-        return self.reign.group
+        return self.ownership.group
 
     async def run(self) -> None:
         """Find the primary, serve it, replace it, until cancelled."""
-        await self._keeper.run()
+        await self._manager.run()
 
     def request_handover(self, limit: Seconds) -> None:
         """Give the group to a peer when nothing is open, or after `limit`."""
-        self._keeper.leave(limit)
+        self._manager.request_handover(limit)
 
     @property
     def executor(self) -> TargetExecutor | None:
@@ -75,7 +75,7 @@
     def read_tip(self) -> Point | None:
         """Return the primary's log end; None when it is not served."""
         executor = self._state.executor
-        if executor is None or not self.reign.is_held():
+        if executor is None or not self.ownership.is_held():
             return None
         if executor.tip is not None:
             self._freshness.note(read_boottime(), executor.tip)
@@ -89,14 +89,16 @@
     ) -> Result[Answer, Refusal]:
         """Run a single statement, or a transaction's first one."""
         executor = self._state.executor
-        if call.is_prompt and not (executor and executor.has_spare(call)):
+        if call.is_prompt and not (
+            executor and executor.has_spare_capacity(call)
+        ):
             return Err(_refuse_queueing(self.group))
         attempt = partial(self._try, call, transactions, deadline)
-        if call.is_final:
+        if call.is_irreversible:
             return await attempt()
         attempts = repeat(attempt, READ_ATTEMPTS)
         outcome = await self._hedger.run(call, attempts, deadline)
-        return outcome or Err(_refuse_reign())
+        return outcome or Err(_refuse_not_owner())
 
     async def _try(
         self,
@@ -104,8 +106,8 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        if not self.reign.is_held():
-            return Err(_refuse_reign())
+        if not self.ownership.is_held():
+            return Err(_refuse_not_owner())
         found = await self._state.wait_executor(deadline)
         if isinstance(found, Err):
             return found
@@ -125,9 +127,9 @@
     ) -> Result[Answer, Refusal]:
         """Run a later statement of a transaction at the primary."""
         may_go_on = self._state.may_continue(transaction.executor)
-        if not may_go_on or not self.reign.is_held():
+        if not may_go_on or not self.ownership.is_held():
             await _drop(transactions, transaction.id)
-            return Err(_refuse_reign(Cause.TRANSACTION_LOST))
+            return Err(_refuse_not_owner(Cause.TRANSACTION_LOST))
         outcome = await run_in_transaction(
             transaction, call, transactions, deadline
         )
@@ -135,7 +137,7 @@
 
     def _check(
         self,
-        executor: TransactionPlace,
+        executor: TransactionExecutor,
         call: StatementCall,
         outcome: Result[Answer, Refusal],
     ) -> Result[Answer, Refusal]:
@@ -144,12 +146,12 @@
         # longer what all callers see: a read is asked again elsewhere, and of
         # a write nobody can say that it was kept. So it is with a primary that
         # was silent, was replaced, and answers after all.
-        if self.reign.is_held() and not executor.is_abandoned:
+        if self.ownership.is_held() and not executor.is_abandoned:
             self.read_tip()
             return outcome
         if isinstance(outcome, Err):
             return outcome
-        if call.is_final:
+        if call.is_irreversible:
             return Err(
                 Unknown(
                     Cause.SUPERSEDED,
@@ -157,8 +159,8 @@
                 ),
             )
         if call.transaction is None:
-            return Err(_refuse_reign())
-        return Err(_refuse_reign(Cause.TRANSACTION_LOST))
+            return Err(_refuse_not_owner())
+        return Err(_refuse_not_owner(Cause.TRANSACTION_LOST))
 
 
 async def _run_at(
@@ -195,7 +197,7 @@
     return NotRun(Cause.OVERLOAD, reason, NOT_OWNER_RETRY)
 
 
-def _refuse_reign(cause: Cause = Cause.SUPERSEDED) -> NotRun:
+def _refuse_not_owner(cause: Cause = Cause.SUPERSEDED) -> NotRun:
     return NotRun(
         cause,
         'this proxy does not own the group any more; ask again',
--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -28,14 +28,14 @@
 from sedgeshunt.routing.freshness import FreshnessProof
 
 
-class _KnownPlan(Struct, frozen=True):
+class _CachedPlan(Struct, frozen=True):
     """Hold who reads a group's replicas, for one list of instances."""
 
     instances: Sequence[InstanceEntry]
     limit: int
     plan: ReaderPlan
 
-    def is_for(
+    def matches(
         self,
         instances: Sequence[InstanceEntry],
         limit: int,
@@ -69,7 +69,7 @@
         self._parts = parts
         self._groups: dict[GroupId, GroupAccess] = {}
         self._tasks: dict[GroupId, Task[None]] = {}
-        self._plans: dict[GroupId, _KnownPlan] = {}
+        self._plans: dict[GroupId, _CachedPlan] = {}
         configuration.listen(self.changed.set)
         view.listen(self._note_change)
 
@@ -174,14 +174,16 @@
         limit = group.connection_limit
         known = self._plans.get(group.name)
         gathers = self._configuration.has_customers()
-        if known is None or not known.is_for(instances, limit, gathers=gathers):
+        if known is None or not known.matches(
+            instances, limit, gathers=gathers
+        ):
             plan = plan_readers(
                 group.name,
                 instances,
                 limit,
                 gathers=gathers,
             )
-            known = _KnownPlan(instances, limit, plan)
+            known = _CachedPlan(instances, limit, plan)
             self._plans[group.name] = known
         return known.plan
 
--- a/src/sedgeshunt/execution/hedging.py
+++ b/src/sedgeshunt/execution/hedging.py
@@ -14,7 +14,7 @@
 # A read is asked again after half of its objective, so that the second answer
 # still meets it, but no sooner than most answers take.
 HEDGE_SHARE = 0.5
-SHORTEST_HEDGE = Seconds(0.15)
+MIN_HEDGE_DELAY = Seconds(0.15)
 
 Outcome = Result[Answer, Refusal]
 Attempt = Callable[[], Awaitable[Outcome]]
@@ -33,7 +33,7 @@
         self._budget = RetryBudget()
         # Attempts that were overtaken: cutting them off would cost their
         # connection, and the target has done the work anyway.
-        self._overtaken: set[Task[Outcome]] = set()
+        self._detached: set[Task[Outcome]] = set()
 
     async def run(
         self,
@@ -47,9 +47,9 @@
         refused: Outcome | None = None
         try:
             while self._start_next(attempts, running):
-                ended = await _wait_one(running, _find_patience(call))
+                ended = await _wait_one(running, _find_hedge_delay(call))
                 refused = ended or refused
-                if _is_final(ended) or read_clock() >= deadline:
+                if _is_settled(ended) or read_clock() >= deadline:
                     return refused
                 if ended is None and not self._budget.try_spend():
                     return await _wait_final(running, refused)
@@ -57,7 +57,7 @@
                 return refused
             return await _wait_final(running, refused)
         finally:
-            self._leave(running, call)
+            self._detach(running, call)
 
     def _start_next(
         self,
@@ -67,10 +67,10 @@
         attempt = next(attempts, None)
         if attempt is None:
             return False
-        running.add(create_task(_call(attempt)))
+        running.add(create_task(_run_attempt(attempt)))
         return True
 
-    def _leave(
+    def _detach(
         self,
         running: set[Task[Outcome]],
         call: StatementCall,
@@ -79,22 +79,22 @@
             if call.transaction is not None:
                 # It would be begun with nobody left to end it.
                 task.cancel()
-            self._overtaken.add(task)
-            task.add_done_callback(self._overtaken.discard)
+            self._detached.add(task)
+            task.add_done_callback(self._detached.discard)
 
 
-async def _call(attempt: Attempt) -> Outcome:
+async def _run_attempt(attempt: Attempt) -> Outcome:
     return await attempt()
 
 
 async def _wait_one(
     running: set[Task[Outcome]],
-    patience: Seconds | None,
+    delay: Seconds | None,
 ) -> Outcome | None:
     """Return the outcome of one that has ended, None after `patience`."""
     done, _ = await wait(
         running,
-        timeout=patience,
+        timeout=delay,
         return_when=FIRST_COMPLETED,
     )
     if not done:
@@ -112,17 +112,17 @@
     while running:
         ended = await _wait_one(running, None)
         refused = ended or refused
-        if _is_final(ended):
+        if _is_settled(ended):
             return ended
     return refused
 
 
-def _find_patience(call: StatementCall) -> Seconds | None:
+def _find_hedge_delay(call: StatementCall) -> Seconds | None:
     # A transaction is open in one place only.
     if call.transaction is not None:
         return None
-    return Seconds(max(SHORTEST_HEDGE, HEDGE_SHARE * call.objective_left))
+    return Seconds(max(MIN_HEDGE_DELAY, HEDGE_SHARE * call.objective_left))
 
 
-def _is_final(ended: Outcome | None) -> bool:
+def _is_settled(ended: Outcome | None) -> bool:
     return ended is not None and not isinstance(ended.err(), NotRun)
--- a/src/sedgeshunt/execution/signs.py
+++ b/src/sedgeshunt/execution/primary_check.py
@@ -22,20 +22,20 @@
 
 # How often an idle primary's signs of life are looked at, and the shortest
 # pause between two looks at a busy one.
-CHECK_EVERY = Seconds(0.1)
-SHORTEST_CHECK = Seconds(0.02)
+CHECK_INTERVAL = Seconds(0.1)
+MIN_CHECK_INTERVAL = Seconds(0.02)
 # A primary with work that answers nothing for so long is probed.
-STALL_AFTER = Seconds(0.2)
+STALL_TIMEOUT = Seconds(0.2)
 
 
-class PrimarySigns(Struct, frozen=True):
+class PrimaryCheck(Struct, frozen=True):
     """Hold what a primary under suspicion and those around it answered."""
 
     status: LogStatus | None
     # The end of its log that it had shown when it was asked.
     shown: Point | None
     # A peer that reaches it.
-    heir: ProxyId | None
+    next_owner: ProxyId | None
     others: dict[TargetId, LogStatus]
 
     def has_lost_log(self) -> bool:
@@ -49,29 +49,33 @@
         return self.status is not None and self.status.role is LogRole.PRIMARY
 
 
-async def ask_all(
+async def check_primary(
     parts: PrimaryContext,
     group: GroupId,
     members: GroupMembers,
     known: KnownTarget,
     shown: Point | None,
-) -> PrimarySigns:
+) -> PrimaryCheck:
     """Ask the primary, the peers and the other targets."""
     # Each question may take its whole limit, and writes wait meanwhile.
     name = known.target.name
     async with TaskGroup() as tasks:
         status = tasks.create_task(read_status(parts.connector, known))
-        heir = tasks.create_task(parts.peers.find_reaching(group, name))
-        others = tasks.create_task(ask_others(parts, members, name))
-    return PrimarySigns(
+        next_owner = tasks.create_task(
+            parts.peers.find_peer_reaching(group, name)
+        )
+        others = tasks.create_task(
+            read_candidate_statuses(parts, members, name)
+        )
+    return PrimaryCheck(
         status.result(),
         shown,
-        heir.result(),
+        next_owner.result(),
         others.result(),
     )
 
 
-async def ask_others(
+async def read_candidate_statuses(
     parts: PrimaryContext,
     members: GroupMembers,
     primary: TargetId | None,
@@ -85,7 +89,7 @@
     return await read_statuses(parts.connector, others)
 
 
-def must_go(members: GroupMembers, primary: TargetId) -> bool:
+def is_replacement_due(members: GroupMembers, primary: TargetId) -> bool:
     """Tell whether another target should lead soon."""
     known = members.find(primary)
     if known is not None and not known.target.is_leaving():
@@ -96,16 +100,16 @@
     )
 
 
-def has_answered(executor: TargetExecutor, since: Monotonic) -> bool:
+def has_answered_since(executor: TargetExecutor, since: Monotonic) -> bool:
     """Tell whether a target has answered anything since a moment."""
     answered_at = executor.answered_at
     return answered_at is not None and answered_at >= since
 
 
-def find_pause(executor: TargetExecutor) -> Seconds:
+def find_check_delay(executor: TargetExecutor) -> Seconds:
     """Return the time until a stall would show."""
     since = executor.waiting_since
     if since is None:
-        return CHECK_EVERY
-    left = since + STALL_AFTER - read_clock()
-    return Seconds(min(CHECK_EVERY, max(SHORTEST_CHECK, left)))
+        return CHECK_INTERVAL
+    left = since + STALL_TIMEOUT - read_clock()
+    return Seconds(min(CHECK_INTERVAL, max(MIN_CHECK_INTERVAL, left)))
--- a/src/sedgeshunt/execution/primary_context.py
+++ b/src/sedgeshunt/execution/primary_context.py
@@ -17,7 +17,7 @@
     """Ask peers about what can't be reached from here."""
 
     @abstractmethod
-    async def find_reaching(
+    async def find_peer_reaching(
         self,
         group: GroupId,
         target: TargetId,
@@ -25,7 +25,7 @@
         """Return a peer that reaches a target that leads; None for none."""
 
     @abstractmethod
-    def find_heir(self, group: GroupId) -> ProxyId | None:
+    def find_next_owner(self, group: GroupId) -> ProxyId | None:
         """Return the best candidate that reaches the store, None for none."""
 
 
@@ -39,14 +39,14 @@
     peers: PeerQueries
     decisions: DecisionLog
 
-    def tell(
+    def record_decision(
         self,
         kind: DecisionKind,
-        reign: Reign,
+        ownership: Reign,
         target: TargetId,
         **reasons: object,
     ) -> None:
         """Take down a decision about a group's primary."""
-        said = {name: str(reason) for name, reason in reasons.items()}
-        said['token'] = str(reign.token)
-        self.decisions.record(Decision(kind, reign.group, target, said))
+        details = {name: str(reason) for name, reason in reasons.items()}
+        details['token'] = str(ownership.token)
+        self.decisions.record(Decision(kind, ownership.group, target, details))
--- a/src/sedgeshunt/execution/primary_keeper.py
+++ b/src/sedgeshunt/execution/primary_manager.py
@@ -6,21 +6,21 @@
 from sedgeshunt.clocks import read_boottime, read_clock
 from sedgeshunt.connections.target_session import LogStatus
 from sedgeshunt.decisions import DecisionKind
-from sedgeshunt.execution.copies import CopyNotes
+from sedgeshunt.execution.copies import CopyRecorder
 from sedgeshunt.execution.primary_context import PrimaryContext
-from sedgeshunt.execution.primary_finder import Leader, PrimaryFinder
+from sedgeshunt.execution.primary_finder import FoundPrimary, PrimaryFinder
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
-from sedgeshunt.execution.quiet import wait_end, wait_quiet
-from sedgeshunt.execution.signs import (
-    CHECK_EVERY,
-    STALL_AFTER,
-    PrimarySigns,
-    ask_all,
-    ask_others,
-    find_pause,
-    has_answered,
-    must_go,
+from sedgeshunt.execution.draining import wait_drained, wait_no_transactions
+from sedgeshunt.execution.primary_check import (
+    CHECK_INTERVAL,
+    STALL_TIMEOUT,
+    PrimaryCheck,
+    check_primary,
+    read_candidate_statuses,
+    find_check_delay,
+    has_answered_since,
+    is_replacement_due,
 )
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.groups.points import Point
@@ -37,61 +37,63 @@
 from sedgeshunt.routing.freshness import FreshnessProof
 
 # A connection that broke says little while others go on.
-SETTLE_AFTER = Seconds(0.03)
+SETTLE_DELAY = Seconds(0.03)
 RETRY_PAUSE = Seconds(0.05)
 # Connections to the primary that are left to its own control and to others.
-SPARE_CONNECTIONS = 4
+RESERVED_CONNECTIONS = 4
 # Statements sent beyond the primary's slots, so that none of these is idle
 # while an answer is on its way.
-SENT_AHEAD = 1
+PIPELINED_STATEMENTS = 1
 # What is told to those who wait: finding a primary takes two round trips and
 # a connection, replacing one 0.3 s more.
-FINDING_TIME = Seconds(0.15)
-REPLACING_TIME = Seconds(0.5)
+SEARCH_ESTIMATE = Seconds(0.15)
+REPLACEMENT_ESTIMATE = Seconds(0.5)
 # A handover is over by then, or the store did not take it.
-HANDOVER_TIME = Seconds(0.5)
+HANDOVER_TIMEOUT = Seconds(0.5)
 # A planned replacement waits so long for a moment without transactions.
-QUIET_WAIT = Seconds(2)
+NO_TRANSACTIONS_TIMEOUT = Seconds(2)
 
 
-class PrimaryKeeper:
+class PrimaryManager:
     """Keep one group's primary during one reign."""
 
     def __init__(
         self,
-        reign: Reign,
+        ownership: Reign,
         state: PrimaryState,
         probe: PrimaryProbe,
         parts: PrimaryContext,
         freshness: FreshnessProof,
     ) -> None:
         """Keep nothing before run()."""
-        self._reign = reign
+        self._ownership = ownership
         self._state = state
         self._parts = parts
-        self._probe_before = probe
-        self._finder = PrimaryFinder(reign, parts, freshness)
-        self._copies = CopyNotes(reign, parts.records, parts.connector)
+        self._takeover_probe = probe
+        self._finder = PrimaryFinder(ownership, parts, freshness)
+        self._copy_recorder = CopyRecorder(
+            ownership, parts.records, parts.connector
+        )
         # The end of what callers were told by the primary before.
         self._acknowledged: Point | None = None
         self._term = Term(0)
         # Set once this instance stops: when what is open must have ended.
-        self._leave_by: Monotonic | None = None
-        self._leaving_since = Boottime(0)
+        self._handover_deadline: Monotonic | None = None
+        self._handover_requested_at = Boottime(0)
 
-    def leave(self, limit: Seconds) -> None:
+    def request_handover(self, limit: Seconds) -> None:
         """Give the group to a peer when nothing is open, or after `limit`."""
-        self._leave_by = Monotonic(read_clock() + limit)
-        self._leaving_since = read_boottime()
+        self._handover_deadline = Monotonic(read_clock() + limit)
+        self._handover_requested_at = read_boottime()
 
     async def run(self) -> None:
         """Keep the primary until cancelled."""
         try:
             while True:
                 executor = self._state.executor
-                heir = self._find_heir()
-                if heir is not None and self._is_store_ready():
-                    await self._leave_to(heir)
+                next_owner = self._find_next_owner()
+                if next_owner is not None and self._is_store_ready():
+                    await self._drain_and_hand_over(next_owner)
                 elif executor is None:
                     await self._find()
                 else:
@@ -101,21 +103,21 @@
 
     async def _find(self) -> None:
         """Serve the primary that the targets themselves tell, or make one."""
-        self._state.expect(FINDING_TIME)
-        members = self._finder.list_members()
+        self._state.expect(SEARCH_ESTIMATE)
+        members = self._finder.find_members()
         if members is None:
             await sleep(RETRY_PAUSE)
             return
-        lost = self._find_known_lost()
+        lost = self._find_unreachable_primary()
         found = await self._finder.find() if lost is None else None
         if found is not None:
             await self._serve(found)
             return
-        seen = self._finder.read_seen()
-        statuses = await self._look_past(members, lost)
-        await self._replace(members, statuses, None, seen)
+        known_tip = self._finder.read_known_tip()
+        statuses = await self._read_other_statuses(members, lost)
+        await self._replace(members, statuses, None, known_tip)
 
-    async def _look_past(
+    async def _read_other_statuses(
         self,
         members: GroupMembers,
         lost: TargetId | None,
@@ -123,43 +125,43 @@
         """Ask the others once no peer reaches a primary that is lost."""
         if lost is not None:
             peers = self._parts.peers
-            await self._leave_to_reaching(
-                await peers.find_reaching(self._reign.group, lost),
+            await self._hand_over_to_reaching(
+                await peers.find_peer_reaching(self._ownership.group, lost),
             )
-        return await ask_others(self._parts, members, lost)
+        return await read_candidate_statuses(self._parts, members, lost)
 
-    def _find_known_lost(self) -> TargetId | None:
+    def _find_unreachable_primary(self) -> TargetId | None:
         """Return the noted primary if it is known not to answer."""
-        noted = self._probe_before.find_recorded()
-        if noted is None or not self._probe_before.is_unreachable():
+        recorded = self._takeover_probe.find_recorded_primary()
+        if recorded is None or not self._takeover_probe.is_unreachable():
             return None
-        return noted.target.name if self._finder.is_settled() else None
+        return recorded.target.name if self._finder.is_settled() else None
 
-    async def _serve(self, leader: Leader) -> None:
-        members = self._finder.list_members()
+    async def _serve(self, leader: FoundPrimary) -> None:
+        members = self._finder.find_members()
         if members is None:
             return
         known = leader.known
         executor = TargetExecutor(
             known.target,
             self._parts.connector,
-            max(1, members.group.connection_limit - SPARE_CONNECTIONS),
-            known.slots + SENT_AHEAD,
+            max(1, members.group.connection_limit - RESERVED_CONNECTIONS),
+            known.slots + PIPELINED_STATEMENTS,
             is_primary=True,
         )
         executor.tip = leader.status.received
         self._acknowledged = None
         self._term = max(self._term, leader.status.term)
         self._state.serve(executor)
-        self._parts.tell(
+        self._parts.record_decision(
             DecisionKind.PRIMARY_FOUND,
-            self._reign,
+            self._ownership,
             known.target.name,
             term=leader.status.term,
             end=leader.status.received.position,
         )
         await self._parts.records.note_leader(
-            self._reign,
+            self._ownership,
             known.target.name,
             leader.status.term,
             known.life,
@@ -167,39 +169,39 @@
 
     async def _watch(self, executor: TargetExecutor) -> None:
         """Look once at the primary, and act on what is seen."""
-        members = self._finder.list_members()
+        members = self._finder.find_members()
         if members is None:
-            await sleep(CHECK_EVERY)
-        elif self._finder.is_reborn(members.find(executor.target.name)):
+            await sleep(CHECK_INTERVAL)
+        elif self._finder.has_restarted(members.find(executor.target.name)):
             await self._state.drop()
         else:
-            await self._copies.keep(members, executor)
-            await self._tend(members, executor)
+            await self._copy_recorder.update(members, executor)
+            await self._check(members, executor)
 
-    async def _tend(
+    async def _check(
         self,
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> None:
-        if must_go(members, executor.target.name):
+        if is_replacement_due(members, executor.target.name):
             await self._replace_planned(members, executor)
-        elif await self._shows_trouble(executor):
+        elif await self._is_suspect(executor):
             await self._probe(members, executor)
 
-    async def _shows_trouble(self, executor: TargetExecutor) -> bool:
+    async def _is_suspect(self, executor: TargetExecutor) -> bool:
         with suppress(TimeoutError):
-            async with timeout(find_pause(executor)):
+            async with timeout(find_check_delay(executor)):
                 await executor.failed.wait()
         if executor.has_lost_log:
             return True
         if executor.failed.is_set():
             executor.failed.clear()
             failed_at = read_clock()
-            await sleep(SETTLE_AFTER)
+            await sleep(SETTLE_DELAY)
             answered_at = executor.answered_at
             return answered_at is None or answered_at < failed_at
         since = executor.waiting_since
-        return since is not None and read_clock() - since > STALL_AFTER
+        return since is not None and read_clock() - since > STALL_TIMEOUT
 
     async def _probe(
         self,
@@ -210,75 +212,75 @@
         name = executor.target.name
         known = members.find(name)
         if known is None:
-            await sleep(CHECK_EVERY)
+            await sleep(CHECK_INTERVAL)
             return
         asked_at = read_clock()
-        signs = await ask_all(
+        check = await check_primary(
             self._parts,
-            self._reign.group,
+            self._ownership.group,
             members,
             known,
             executor.shown,
         )
-        if signs.is_leading() and not signs.has_lost_log():
+        if check.is_leading() and not check.has_lost_log():
             executor.waiting_since = None
             executor.has_lost_log = False
             return
-        self._parts.tell(
+        self._parts.record_decision(
             DecisionKind.PRIMARY_SUSPECTED,
-            self._reign,
+            self._ownership,
             name,
-            answers=signs.status is not None,
+            answers=check.status is not None,
             failures=executor.failures,
         )
-        self._state.expect(REPLACING_TIME)
+        self._state.expect(REPLACEMENT_ESTIMATE)
         await self._state.drop()
-        if signs.status is None:
-            await self._replace_silent(members, executor, signs, asked_at)
-        elif signs.has_lost_log():
+        if check.status is None:
+            await self._replace_unresponsive(members, executor, check, asked_at)
+        elif check.has_lost_log():
             await self._replace(
                 members,
-                signs.others,
+                check.others,
                 executor.tip,
-                signs.shown,
+                check.shown,
             )
 
-    async def _replace_silent(
+    async def _replace_unresponsive(
         self,
         members: GroupMembers,
         executor: TargetExecutor,
-        signs: PrimarySigns,
+        check: PrimaryCheck,
         asked_at: Monotonic,
     ) -> None:
-        await self._leave_to_reaching(signs.heir)
-        statuses = signs.others
-        if has_answered(executor, asked_at):
+        await self._hand_over_to_reaching(check.next_owner)
+        statuses = check.others
+        if has_answered_since(executor, asked_at):
             # The replicas may have received more since they were asked.
             lost = executor.target.name
-            statuses = await ask_others(self._parts, members, lost)
-        await self._replace(members, statuses, executor.tip, signs.shown)
+            statuses = await read_candidate_statuses(self._parts, members, lost)
+        await self._replace(members, statuses, executor.tip, check.shown)
 
-    async def _leave_to_reaching(self, heir: ProxyId | None) -> None:
+    async def _hand_over_to_reaching(self, next_owner: ProxyId | None) -> None:
         """Have a peer that reaches the primary own the group."""
         # A promotion loses what no replica has received, and takes longer.
-        if heir is not None:
-            self._reign.leave_to(heir)
-            await sleep(HANDOVER_TIME)
+        if next_owner is not None:
+            self._ownership.leave_to(next_owner)
+            await sleep(HANDOVER_TIMEOUT)
 
     async def _replace(
         self,
         members: GroupMembers,
         statuses: dict[TargetId, LogStatus],
         acknowledged: Point | None,
-        seen: Point | None,
+        known_tip: Point | None,
     ) -> None:
         """Have another target lead, if one can."""
-        self._state.expect(REPLACING_TIME)
-        leading = self._finder.choose_leader(
+        self._state.expect(REPLACEMENT_ESTIMATE)
+        leading = self._finder.choose_primary(
             members,
             statuses,
-            self._find_least(),
-            seen,
+            self._find_min_term(),
+            known_tip,
         )
         if leading is not None:
             await self._serve(leading)
@@ -291,23 +293,27 @@
         executor: TargetExecutor,
     ) -> None:
         """Replace a primary that leaves, with nothing lost and little wait."""
-        await wait_quiet(executor, Monotonic(read_clock() + QUIET_WAIT))
-        statuses = await ask_others(self._parts, members, executor.target.name)
+        await wait_no_transactions(
+            executor, Monotonic(read_clock() + NO_TRANSACTIONS_TIMEOUT)
+        )
+        statuses = await read_candidate_statuses(
+            self._parts, members, executor.target.name
+        )
         # Without a successor or the store it would be suspended for nothing.
         if statuses and self._parts.records.reaches_store():
             await self._suspend(executor)
             await self._promote(members, statuses, executor.tip)
         else:
-            await self._yield_to_heir()
+            await self._yield_to_next_owner()
 
     async def _suspend(self, executor: TargetExecutor) -> None:
         """Start nothing more at the primary, and let what is open end."""
-        self._state.expect(REPLACING_TIME)
+        self._state.expect(REPLACEMENT_ESTIMATE)
         self._state.suspend()
-        await wait_end(executor)
-        self._parts.tell(
+        await wait_drained(executor)
+        self._parts.record_decision(
             DecisionKind.PRIMARY_SUSPENDED,
-            self._reign,
+            self._ownership,
             executor.target.name,
             transactions=len(executor.transactions),
         )
@@ -322,39 +328,39 @@
         # Once told, it stays acknowledged, however many attempts it takes.
         self._acknowledged = acknowledged or self._acknowledged
         if not self._parts.records.reaches_store():
-            await self._yield_to_heir()
+            await self._yield_to_next_owner()
             return
         successor = await self._parts.replacement.promote(
-            self._reign,
+            self._ownership,
             members,
             statuses,
             self._acknowledged,
-            self._find_least(),
+            self._find_min_term(),
         )
         if successor is None:
-            await self._yield_to_heir()
+            await self._yield_to_next_owner()
         else:
-            await self._serve(Leader(successor.known, successor.status))
+            await self._serve(FoundPrimary(successor.known, successor.status))
 
-    def _find_least(self) -> Term:
+    def _find_min_term(self) -> Term:
         """Return the newest term in which a target is known to have led."""
-        noted = self._parts.records.find_term(self._reign.group)
-        return max(noted, self._term)
+        recorded = self._parts.records.find_term(self._ownership.group)
+        return max(recorded, self._term)
 
-    async def _yield_to_heir(self) -> None:
+    async def _yield_to_next_owner(self) -> None:
         """Give the group to a peer if the store answers that one only."""
         await sleep(RETRY_PAUSE)
         if self._parts.records.reaches_store():
             return
-        heir = self._parts.peers.find_heir(self._reign.group)
-        if heir is not None:
-            await self._hand_over(heir)
+        next_owner = self._parts.peers.find_next_owner(self._ownership.group)
+        if next_owner is not None:
+            await self._hand_over(next_owner)
 
-    def _find_heir(self) -> ProxyId | None:
+    def _find_next_owner(self) -> ProxyId | None:
         """Return who takes the group over from a stopping instance."""
-        if self._leave_by is None:
+        if self._handover_deadline is None:
             return None
-        return self._parts.peers.find_heir(self._reign.group)
+        return self._parts.peers.find_next_owner(self._ownership.group)
 
     def _is_store_ready(self) -> bool:
         """Tell whether the store takes a handover now, and soon.
@@ -368,25 +374,28 @@
         if records.is_refused_alone():
             # The peer claims by this owner's own word.
             return True
-        if self._leave_by is not None and read_clock() >= self._leave_by:
+        if (
+            self._handover_deadline is not None
+            and read_clock() >= self._handover_deadline
+        ):
             return records.reaches_store()
-        return records.has_prompt_store(self._leaving_since)
+        return records.has_prompt_store(self._handover_requested_at)
 
-    async def _leave_to(self, heir: ProxyId) -> None:
+    async def _drain_and_hand_over(self, next_owner: ProxyId) -> None:
         executor = self._state.executor
-        if executor is not None and self._leave_by is not None:
-            await wait_quiet(executor, self._leave_by)
+        if executor is not None and self._handover_deadline is not None:
+            await wait_no_transactions(executor, self._handover_deadline)
             if not self._is_store_ready():
                 return
         # The one chosen before the wait may have gone since.
-        await self._hand_over(self._find_heir() or heir)
+        await self._hand_over(self._find_next_owner() or next_owner)
 
-    async def _hand_over(self, heir: ProxyId) -> None:
+    async def _hand_over(self, next_owner: ProxyId) -> None:
         """Let statements under way be answered, then give the group up."""
         # Of a write that is answered after the end of the reign nobody can
         # say that it was kept.
         executor = self._state.executor
         if executor is not None:
             await self._suspend(executor)
-        self._reign.leave_to(heir)
-        await sleep(HANDOVER_TIME)
+        self._ownership.leave_to(next_owner)
+        await sleep(HANDOVER_TIMEOUT)
--- a/src/sedgeshunt/execution/primary_probe.py
+++ b/src/sedgeshunt/execution/primary_probe.py
@@ -14,9 +14,9 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.registry.directory import KnownTarget
 
-LOOK_EVERY = Seconds(0.2)
+PROBE_INTERVAL = Seconds(0.2)
 # Longest time between a look and the claim that makes use of it.
-FRESH_FOR = Seconds(0.5)
+MAX_RESULT_AGE = Seconds(0.5)
 
 
 class PrimaryProbe:
@@ -39,28 +39,30 @@
         self._records = records
         self._connector = connector
         self._failed_at: Monotonic | None = None
-        self._awake = Event()
+        self._wake_event = Event()
 
     def wake(self) -> None:
         """Look whether a look is wanted."""
-        self._awake.set()
+        self._wake_event.set()
 
     async def run(self, is_wanted: Callable[[], bool]) -> None:
         """Look again and again while it is wanted, until cancelled."""
         while True:
-            self._awake.clear()
+            self._wake_event.clear()
             if is_wanted():
-                await self._look()
-                await sleep(LOOK_EVERY)
+                await self._probe()
+                await sleep(PROBE_INTERVAL)
             else:
-                await self._awake.wait()
+                await self._wake_event.wait()
 
     def is_unreachable(self) -> bool:
         """Tell whether the primary has just failed to answer."""
         failed_at = self._failed_at
-        return failed_at is not None and read_clock() - failed_at < FRESH_FOR
+        return (
+            failed_at is not None and read_clock() - failed_at < MAX_RESULT_AGE
+        )
 
-    def find_recorded(self) -> KnownTarget | None:
+    def find_recorded_primary(self) -> KnownTarget | None:
         """Return the target that the latest owner noted as primary."""
         record = self._records.find_record(self._group)
         members = self._configuration.find_members(self._group)
@@ -68,8 +70,8 @@
             return None
         return members.find(record.leader.target)
 
-    async def _look(self) -> None:
-        known = self.find_recorded()
+    async def _probe(self) -> None:
+        known = self.find_recorded_primary()
         if known is None:
             return
         status = await read_status(self._connector, known)
--- a/src/sedgeshunt/execution/primary_state.py
+++ b/src/sedgeshunt/execution/primary_state.py
@@ -4,7 +4,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.target_executor import TargetExecutor
-from sedgeshunt.execution.transactions import TransactionPlace
+from sedgeshunt.execution.transactions import TransactionExecutor
 from sedgeshunt.groups.waiters import ChangeSignal
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds
 from sedgeshunt.limits.holding import find_retry, is_worth_holding
@@ -19,14 +19,14 @@
         self.group = group
         self.executor: TargetExecutor | None = None
         # The primary that is being replaced: its open transactions may end.
-        self.leaving: TargetExecutor | None = None
+        self.suspended: TargetExecutor | None = None
         self._expected_at: Monotonic | None = None
         self._changed = ChangeSignal()
 
     def serve(self, executor: TargetExecutor) -> None:
         """Let statements use a primary."""
         self.executor = executor
-        self.leaving = None
+        self.suspended = None
         self._changed.notify()
 
     def expect(self, within: Seconds | None) -> None:
@@ -38,20 +38,20 @@
 
     def suspend(self) -> None:
         """Start no more work at the primary; what is open may end."""
-        self.leaving = self.executor
+        self.suspended = self.executor
         self.executor = None
 
     async def drop(self) -> None:
         """Use the primary no more."""
-        dropped = self.executor or self.leaving
+        dropped = self.executor or self.suspended
         self.executor = None
-        self.leaving = None
+        self.suspended = None
         if dropped is not None:
             await dropped.abandon(is_lost=True)
 
-    def may_continue(self, executor: TransactionPlace) -> bool:
+    def may_continue(self, executor: TransactionExecutor) -> bool:
         """Tell whether a transaction at `executor` may go on."""
-        return executor in (self.executor, self.leaving)
+        return executor in (self.executor, self.suspended)
 
     async def wait_executor(
         self,
--- a/src/sedgeshunt/execution/replacement.py
+++ b/src/sedgeshunt/execution/replacement.py
@@ -36,14 +36,14 @@
 from sedgeshunt.registry.entries import ReplacementIntent
 
 # The order's answer takes some milliseconds; the platform may be slow.
-ORDER_LIMIT = Seconds(0.5)
+ORDER_TIMEOUT = Seconds(0.5)
 # From an order to the moment in which its target leads: 0.3 s, 1 s on large
 # installations, and a margin.
-EFFECT_LIMIT = Seconds(2.5)
-POLL_EVERY = Seconds(0.03)
+EFFECT_TIMEOUT = Seconds(2.5)
+POLL_INTERVAL = Seconds(0.03)
 # A replica receives what was acknowledged within some milliseconds, if the
 # primary still sends; what it lacks after this time is lost with the primary.
-CATCH_UP_LIMIT = Seconds(0.4)
+CATCH_UP_TIMEOUT = Seconds(0.4)
 
 
 class Successor(Struct, frozen=True):
@@ -71,11 +71,11 @@
 
     async def promote(
         self,
-        reign: Reign,
+        ownership: Reign,
         members: GroupMembers,
         statuses: Mapping[TargetId, LogStatus],
         acknowledged: Point | None,
-        least: Term,
+        min_term: Term,
     ) -> Successor | None:
         """Have the replica with the furthest log lead; None if none does.
 
@@ -83,12 +83,12 @@
         end of what this owner told callers, None if it told nothing, `least`
         the newest term in which a target is known to have led.
         """
-        chosen = self._choose(reign, members, statuses, least)
+        chosen = self._choose(ownership, members, statuses, min_term)
         if chosen is None:
             return None
         covers_all = await self._catch_up(chosen, acknowledged)
         is_safe = is_safe_choice(
-            self._count_unheard(members, statuses),
+            self._count_unreachable(members, statuses),
             members.group.synchronous_replicas,
             covers_all=covers_all and acknowledged is not None,
         )
@@ -97,74 +97,74 @@
         # The next owner must know that an order is under way: it takes effect
         # hundreds of milliseconds after it was sent.
         target = chosen.known.target.name
-        if not await self._records.note_intent(reign, target, least):
+        if not await self._records.note_intent(ownership, target, min_term):
             return None
-        return await self._promote(reign, chosen.known)
+        return await self._promote(ownership, chosen.known)
 
-    async def finish_pending(
+    async def resume_pending(
         self,
-        reign: Reign,
+        ownership: Reign,
         statuses: Mapping[TargetId, LogStatus],
     ) -> bool:
         """See an earlier owner's order through; tell whether there was one."""
-        intent = self._records.find_intent(reign.group)
+        intent = self._records.find_intent(ownership.group)
         if intent is None:
             return False
-        if self._is_over(reign, intent, statuses):
-            await self._records.clear_intent(reign)
+        if self._is_obsolete(ownership, intent, statuses):
+            await self._records.clear_intent(ownership)
             return False
-        answer = await self._order(reign, intent.target)
+        answer = await self._order(ownership, intent.target)
         if answer is PromotionAnswer.TARGET_DOWN:
             # It may have led for a while before it went down, unnoted for want
             # of the store: the one that led before can't be trusted any more.
-            await self._records.note_doubt(reign, intent.target)
+            await self._records.note_doubt(ownership, intent.target)
         else:
-            await sleep(POLL_EVERY)
+            await sleep(POLL_INTERVAL)
         return True
 
     def _choose(
         self,
-        reign: Reign,
+        ownership: Reign,
         members: GroupMembers,
         statuses: Mapping[TargetId, LogStatus],
-        least: Term,
+        min_term: Term,
     ) -> Successor | None:
         """Return the replica whose log is furthest, None if that is unsure."""
-        target = choose_successor(reign.group, statuses)
+        target = choose_successor(ownership.group, statuses)
         known = None if target is None else members.find(target)
         if target is None or known is None:
             return None
         status = statuses[target]
-        is_doubtful = self._records.is_leader_doubtful(reign.group)
-        if is_doubtful or status.term < least:
+        is_doubtful = self._records.is_leader_doubtful(ownership.group)
+        if is_doubtful or status.term < min_term:
             # One that is not heard may have what was written since.
-            if _lacks_any(members, statuses):
+            if _is_any_missing(members, statuses):
                 return None
         return Successor(known, status)
 
-    def _is_over(
+    def _is_obsolete(
         self,
-        reign: Reign,
+        ownership: Reign,
         intent: ReplacementIntent,
         statuses: Mapping[TargetId, LogStatus],
     ) -> bool:
         """Tell whether an intent's order has taken effect, or is an old one."""
-        noted = self._records.find_term(reign.group)
+        recorded = self._records.find_term(ownership.group)
         leading = {
             target: status.term
             for target, status in statuses.items()
             if status.role is LogRole.PRIMARY
         }
         # A copy of the store may hold an intent that was cleared since.
-        has_newer = max(leading.values(), default=noted) > noted
+        has_newer = max(leading.values(), default=recorded) > recorded
         return intent.target in leading or has_newer
 
-    def _count_unheard(
+    def _count_unreachable(
         self,
         members: GroupMembers,
         statuses: Mapping[TargetId, LogStatus],
     ) -> int:
-        heard = replace(
+        reachable = replace(
             members,
             targets=[
                 known
@@ -172,44 +172,44 @@
                 if known.target.name in statuses
             ],
         )
-        noted = self._records.find_copies(members.group.name)
-        places = noted | list_places(members)
+        recorded = self._records.find_copies(members.group.name)
+        max_running = recorded | list_places(members)
         # One of them is the primary that is lost.
-        return len(places - list_places(heard)) - 1
+        return len(max_running - list_places(reachable)) - 1
 
     async def _catch_up(
         self,
         chosen: Successor,
         acknowledged: Point | None,
     ) -> bool:
-        give_up = read_clock() + CATCH_UP_LIMIT
+        give_up_at = read_clock() + CATCH_UP_TIMEOUT
         status = chosen.status
         while not covers(status, acknowledged):
-            if read_clock() > give_up:
+            if read_clock() > give_up_at:
                 return False
-            await sleep(POLL_EVERY)
+            await sleep(POLL_INTERVAL)
             newer = await read_status(self._connector, chosen.known)
             status = newer or status
         return True
 
     async def _promote(
         self,
-        reign: Reign,
+        ownership: Reign,
         known: KnownTarget,
     ) -> Successor | None:
         target = known.target.name
-        answer = await self._order(reign, target)
-        if answer in _WITHOUT_EFFECT:
-            await self._records.clear_intent(reign)
+        answer = await self._order(ownership, target)
+        if answer in _INEFFECTIVE_ANSWERS:
+            await self._records.clear_intent(ownership)
             return None
-        give_up = read_clock() + EFFECT_LIMIT
-        while read_clock() < give_up and reign.is_held():
-            await sleep(POLL_EVERY)
+        give_up_at = read_clock() + EFFECT_TIMEOUT
+        while read_clock() < give_up_at and ownership.is_held():
+            await sleep(POLL_INTERVAL)
             status = await read_status(self._connector, known)
             if status is not None and status.role is LogRole.PRIMARY:
-                self._tell(
+                self._record_decision(
                     DecisionKind.PRIMARY_REPLACED,
-                    reign,
+                    ownership,
                     target,
                     term=status.term,
                 )
@@ -218,44 +218,46 @@
 
     async def _order(
         self,
-        reign: Reign,
+        ownership: Reign,
         target: TargetId,
     ) -> PromotionAnswer:
         # An order that could arrive after the end of this reign would be one
         # of an owner that is none any more.
-        if not reign.is_held_for(ORDER_LIMIT):
+        if not ownership.is_held_for(ORDER_TIMEOUT):
             return PromotionAnswer.NOT_TAKEN
         answer = await self._promotions.order(
-            PromotionOrder(reign.group, target, reign.owner, reign.token),
-            ORDER_LIMIT,
+            PromotionOrder(
+                ownership.group, target, ownership.owner, ownership.token
+            ),
+            ORDER_TIMEOUT,
         )
-        self._tell(
+        self._record_decision(
             DecisionKind.PROMOTION_ORDERED,
-            reign,
+            ownership,
             target,
             answer=answer.value,
         )
         return answer
 
-    def _tell(
+    def _record_decision(
         self,
         kind: DecisionKind,
-        reign: Reign,
+        ownership: Reign,
         target: TargetId,
         **reasons: object,
     ) -> None:
-        said = {name: str(reason) for name, reason in reasons.items()}
-        said['token'] = str(reign.token)
-        self._decisions.record(Decision(kind, reign.group, target, said))
+        details = {name: str(reason) for name, reason in reasons.items()}
+        details['token'] = str(ownership.token)
+        self._decisions.record(Decision(kind, ownership.group, target, details))
 
 
-def _lacks_any(
+def _is_any_missing(
     members: GroupMembers,
     statuses: Mapping[TargetId, LogStatus],
 ) -> bool:
     return any(known.target.name not in statuses for known in members.targets)
 
 
-_WITHOUT_EFFECT = frozenset(
+_INEFFECTIVE_ANSWERS = frozenset(
     (PromotionAnswer.TARGET_DOWN, PromotionAnswer.NOT_TAKEN),
 )
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -38,11 +38,11 @@
 BEHIND_PAUSE = Seconds(0.1)
 # One that failed is passed over for so long, doubled at each further failure.
 FAILED_PAUSE = Seconds(0.3)
-LONGEST_PAUSE = Seconds(4)
+MAX_FAILED_PAUSE = Seconds(4)
 STALE_RETRY = Seconds(0.2)
 # Of a replica's places each of its readers may fill so many times its part
 # before others count as having more room: callers stand unevenly.
-PLACES_FACTOR = 2
+SLOT_OVERCOMMIT = 2
 
 
 class Replica:
@@ -54,10 +54,10 @@
         self.executor = executor
         self.avoided_until = Monotonic(0)
         # Statements that it runs for this proxy without much of a queue.
-        self.places = 1
+        self.max_running = 1
         self._failures = 0
 
-    def note(self, refusal: Refusal | None) -> None:
+    def record_outcome(self, refusal: Refusal | None) -> None:
         """Take in the end of one read."""
         if refusal is None:
             self._failures = 0
@@ -68,16 +68,16 @@
         elif cause is not Cause.OVERLOAD:
             pause = FAILED_PAUSE * 2**self._failures
             self._failures = min(self._failures + 1, 4)
-            self._avoid(Seconds(min(LONGEST_PAUSE, pause)))
+            self._avoid(Seconds(min(MAX_FAILED_PAUSE, pause)))
 
-    def is_other_life(self, listed: KnownTarget | None) -> bool:
+    def is_superseded_by(self, listed: KnownTarget | None) -> bool:
         """Tell whether the target is gone, has started anew, or elsewhere."""
         if listed is None or self.known.life != listed.life:
             return True
         known, target = self.known.target, listed.target
         return (known.host, known.port) != (target.host, target.port)
 
-    def has_shown(self, point: Point) -> bool:
+    def has_reached(self, point: Point) -> bool:
         """Tell whether its log is known to include a point."""
         tip = self.executor.tip
         return tip is not None and point <= tip
@@ -112,11 +112,11 @@
         """Take in a new list of targets."""
         members = self._configuration.find_members(self.group)
         shares = {} if members is None else self._find_shares(members)
-        await self._drop_others(
+        await self._close_unlisted(
             {known.target.name: known for known, share in shares.values()},
         )
         for known, share in shares.values():
-            self._keep(known, share)
+            self._update_replica(known, share)
 
     def _find_shares(
         self,
@@ -132,13 +132,13 @@
             if share is not None
         }
 
-    async def _drop_others(
+    async def _close_unlisted(
         self,
         listed: Mapping[TargetId, KnownTarget],
     ) -> None:
         for name, replica in tuple(self._replicas.items()):
             # Another life of it has nothing of what was learnt or prepared.
-            if replica.is_other_life(listed.get(name)):
+            if replica.is_superseded_by(listed.get(name)):
                 await self._replicas.pop(name).executor.close()
 
     def has_replicas(self) -> bool:
@@ -152,7 +152,7 @@
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Read from one replica after the other until one can serve."""
-        if call.is_prompt and not self._has_place(call):
+        if call.is_prompt and not self._has_free_slot(call):
             return Err(_refuse_queueing(self.group))
         required = self._find_required(call)
         if required is None:
@@ -164,10 +164,10 @@
         outcome = await self._hedger.run(call, attempts, deadline)
         return outcome or Err(self._refuse('no replica can serve'))
 
-    def _has_place(self, call: StatementCall) -> bool:
+    def _has_free_slot(self, call: StatementCall) -> bool:
         now = read_clock()
         return any(
-            replica.executor.has_place(call, replica.places)
+            replica.executor.has_free_slot(call, replica.max_running)
             for replica in self._replicas.values()
             if replica.avoided_until <= now
         )
@@ -194,7 +194,7 @@
         required: Point,
     ) -> Result[Answer, Refusal]:
         outcome = await _run_at(replica, call, transactions, deadline, required)
-        replica.note(outcome.err())
+        replica.record_outcome(outcome.err())
         return outcome
 
     def _rank(self, required: Point) -> list[Replica]:
@@ -209,15 +209,15 @@
             key=lambda replica: (
                 not replica.executor.admission.has_room(),
                 replica.known.target.zone != self._zone,
-                not replica.has_shown(required),
+                not replica.has_reached(required),
                 replica.executor.admission.expected_wait(now),
             ),
         )
 
-    def _keep(self, known: KnownTarget, share: ReaderShare) -> None:
+    def _update_replica(self, known: KnownTarget, share: ReaderShare) -> None:
         name = known.target.name
-        connections = share.connections
-        at_once = self._find_concurrency(known, connections)
+        max_connections = share.connections
+        concurrency = self._find_concurrency(known, max_connections)
         replica = self._replicas.get(name)
         if replica is None:
             replica = Replica(
@@ -225,14 +225,14 @@
                 TargetExecutor(
                     known.target,
                     self._connector,
-                    connections,
-                    at_once,
+                    max_connections,
+                    concurrency,
                 ),
             )
             self._replicas[name] = replica
-        replica.executor.resize(connections, at_once)
-        part = PLACES_FACTOR * known.slots / max(1, share.readers)
-        replica.places = max(1, round(part))
+        replica.executor.resize(max_connections, concurrency)
+        part = SLOT_OVERCOMMIT * known.slots / max(1, share.readers)
+        replica.max_running = max(1, round(part))
 
     def _find_concurrency(self, known: KnownTarget, share: int) -> int:
         # A connection for each customer is more than a target runs at once.
--- a/src/sedgeshunt/execution/statuses.py
+++ b/src/sedgeshunt/execution/statuses.py
@@ -12,7 +12,7 @@
 from sedgeshunt.registry.directory import KnownTarget
 
 # A target answers within a connection's 12 ms and a wait for a slot.
-STATUS_LIMIT = Seconds(0.25)
+STATUS_TIMEOUT = Seconds(0.25)
 
 
 async def read_statuses(
@@ -40,11 +40,11 @@
     """Return one target's status, None if it does not answer in time."""
     target = known.target
     try:
-        async with timeout(STATUS_LIMIT):
+        async with timeout(STATUS_TIMEOUT):
             session = await connector.connect(
                 target,
                 target.group,
-                STATUS_LIMIT,
+                STATUS_TIMEOUT,
             )
             try:
                 return await session.read_status()
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -24,7 +24,7 @@
 from sedgeshunt.execution.preparing import needs_preparing, prepare
 from sedgeshunt.execution.transactions import (
     OpenTransaction,
-    TransactionPlace,
+    TransactionExecutor,
 )
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.successors import is_behind
@@ -45,10 +45,10 @@
 LOST_RETRY = Seconds(0.1)
 # A place that waits longer than both for its answer is given to the next
 # statement: work takes at most eight times its mean.
-SHORTEST_PATIENCE = Seconds(0.25)
-PATIENCE_FACTOR = 8
+MIN_SLOT_TIMEOUT = Seconds(0.25)
+SLOT_TIMEOUT_FACTOR = 8
 # A transaction whose statement waits for so many objectives is undone.
-OPEN_FACTOR = 2
+STATEMENT_TIMEOUT_FACTOR = 2
 
 Work = Callable[[], Awaitable[Result[Answer, Refusal]]]
 
@@ -62,29 +62,31 @@
 }
 
 
-class TargetExecutor(LifeCheck, TransactionPlace):
+class TargetExecutor(LifeCheck, TransactionExecutor):
     """Own the sessions with one target and the queue before it."""
 
     def __init__(
         self,
         target: Target,
         connector: TargetSessionConnector,
-        share: int,
-        at_once: int,
+        max_connections: int,
+        concurrency: int,
         *,
         is_primary: bool = False,
     ) -> None:
         """Open at most `share` connections, run `at_once` statements."""
         self.target = target
         self._is_primary = is_primary
-        self.pool = SessionPool(connector, target, share, at_once, self)
+        self.pool = SessionPool(
+            connector, target, max_connections, concurrency, self
+        )
         self.admission = TargetAdmission(
             target.name,
-            share,
-            limit=FixedConcurrency(at_once),
+            max_connections,
+            limit=FixedConcurrency(concurrency),
             counts_stalls=not is_primary,
         )
-        self._standing = StandingQueue()
+        self._standing_queue = StandingQueue()
         # The end of the target's log, as it last showed it.
         self.tip: Point | None = None
         # The same as far as answers showed it. A target that was just promoted
@@ -104,13 +106,13 @@
         # again without what it held.
         self.has_lost_log = False
         # Sessions with a request that can be asked again elsewhere.
-        self._harmless: set[PooledSession] = set()
+        self._retryable_sessions: set[PooledSession] = set()
 
     @property
-    def patience(self) -> Seconds:
+    def slot_timeout(self) -> Seconds:
         """Return how long a statement keeps its place without an answer."""
-        usual = PATIENCE_FACTOR * self.admission.latency
-        return Seconds(max(SHORTEST_PATIENCE, usual))
+        usual = SLOT_TIMEOUT_FACTOR * self.admission.latency
+        return Seconds(max(MIN_SLOT_TIMEOUT, usual))
 
     async def run_single(
         self,
@@ -122,16 +124,16 @@
         # The connection comes first, as within transactions: a statement that
         # has a place at the target and waits for a connection would keep out
         # those whose end frees one.
-        came_at = read_clock()
+        arrived_at = read_clock()
         lent = await self.lend(call, deadline)
         if isinstance(lent, Err):
             return lent
         async with lent.ok_value as loan:
-            return await self._take_turn(
+            return await self._run_admitted(
                 call,
                 deadline,
                 lambda: self._run_on(loan, call, deadline, after),
-                came_at=came_at,
+                arrived_at=arrived_at,
             )
 
     async def lend(
@@ -142,19 +144,19 @@
         is_transaction: bool = False,
     ) -> Result[SessionLoan, NotRun]:
         """Lend a session for a call, or refuse it as too many wait."""
-        came_at = read_clock()
+        arrived_at = read_clock()
         lent = await self.pool.lend(
             call.session_values,
             deadline,
             customer=call.identity.customer,
             is_transaction=is_transaction,
-            due=self._find_due(call, deadline, came_at),
+            due=self._find_due(call, deadline, arrived_at),
         )
         if isinstance(lent, Err):
             self.note_refusal(lent.err_value)
             self._note_refused(call, lent.err_value)
         elif is_transaction:
-            self._note_wait(call, came_at)
+            self._note_wait(call, arrived_at)
         return lent
 
     async def run_inside(
@@ -164,21 +166,21 @@
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
         """Run one statement of the transaction that is open on `loan`."""
-        return await self._take_turn(
+        return await self._run_admitted(
             call,
             deadline,
             lambda: self._run_on(loan, call, deadline, None),
             is_begun=True,
         )
 
-    async def _take_turn(
+    async def _run_admitted(
         self,
         call: StatementCall,
         deadline: Monotonic,
         work: Work,
         *,
         is_begun: bool = False,
-        came_at: Monotonic | None = None,
+        arrived_at: Monotonic | None = None,
     ) -> Result[Answer, Refusal]:
         # Refused in its middle, a transaction is undone, and what it did is
         # asked for in full once more, which makes an overload last. Those that
@@ -189,18 +191,18 @@
             deadline,
             customer=call.identity.customer,
             is_begun=is_begun,
-            due=self._find_due(call, deadline, came_at),
+            due=self._find_due(call, deadline, arrived_at),
         )
         if isinstance(admitted, Err):
             self._note_refused(call, admitted.err_value)
             return admitted
-        if came_at is not None:
-            self._note_wait(call, came_at)
+        if arrived_at is not None:
+            self._note_wait(call, arrived_at)
         started = read_clock()
         permit = admitted.ok_value
         # A target may run a statement and lose the answer. It works on the
         # next one long before this one is given up, so its place goes on.
-        timer = get_running_loop().call_later(self.patience, permit.cancel)
+        timer = get_running_loop().call_later(self.slot_timeout, permit.cancel)
         try:
             outcome = await work()
         except CancelledError:
@@ -219,23 +221,25 @@
         self,
         call: StatementCall,
         deadline: Monotonic,
-        came_at: Monotonic | None,
+        arrived_at: Monotonic | None,
     ) -> Monotonic:
         now = read_clock()
-        waited = now - (came_at or now)
+        waited = now - (arrived_at or now)
         aim_left = Seconds(call.objective_left - waited)
-        return self._standing.find_due(call.priority, aim_left, deadline, now)
+        return self._standing_queue.find_due(
+            call.priority, aim_left, deadline, now
+        )
 
-    def _note_wait(self, call: StatementCall, came_at: Monotonic) -> None:
+    def _note_wait(self, call: StatementCall, arrived_at: Monotonic) -> None:
         now = read_clock()
-        waited = Seconds(now - came_at)
-        self._standing.note_wait(
+        waited = Seconds(now - arrived_at)
+        self._standing_queue.note_wait(
             call.priority, waited, call.objective_left, now
         )
 
     def _note_refused(self, call: StatementCall, refusal: NotRun) -> None:
         if refusal.cause is Cause.OVERLOAD:
-            self._standing.note_refusal(call.priority, read_clock())
+            self._standing_queue.note_refusal(call.priority, read_clock())
 
     async def _run_on(
         self,
@@ -246,29 +250,33 @@
     ) -> Result[Answer, Refusal]:
         session = loan.session
         if needs_preparing(session, call):
-            prepared = await self.ask(
+            prepared = await self.send_request(
                 session,
                 lambda: prepare(session, call),
                 deadline,
-                is_harmless=True,
+                is_retryable=True,
             )
             if isinstance(prepared, Err):
                 return prepared
             if prepared.ok_value.refusal is not None:
-                return Err(self._name_refusal(prepared.ok_value.refusal))
-        if call.transaction is not None and not call.is_final:
+                return Err(self._convert_refusal(prepared.ok_value.refusal))
+        if call.transaction is not None and not call.is_irreversible:
             # Given up early, the transaction can be begun again in time.
-            patience = max(SHORTEST_PATIENCE, OPEN_FACTOR * call.objective_left)
-            deadline = Monotonic(min(deadline, read_clock() + patience))
-        reply = await self.ask(
+            statement_timeout = max(
+                MIN_SLOT_TIMEOUT, STATEMENT_TIMEOUT_FACTOR * call.objective_left
+            )
+            deadline = Monotonic(
+                min(deadline, read_clock() + statement_timeout)
+            )
+        reply = await self.send_request(
             session,
             lambda: self._send(session, call, after),
             deadline,
-            is_harmless=not call.is_final,
+            is_retryable=not call.is_irreversible,
         )
         if isinstance(reply, Err):
             return reply
-        return self._explain(reply.ok_value)
+        return self._convert_reply(reply.ok_value)
 
     async def begin(
         self,
@@ -280,52 +288,52 @@
     ) -> Result[Answer, Refusal]:
         """Open a transaction on a lent session."""
         connection = loan.session.connection
-        reply = await self.ask(
+        reply = await self.send_request(
             loan.session,
             lambda: connection.begin(is_read_only=is_read_only, after=after),
             deadline,
-            is_harmless=True,
+            is_retryable=True,
         )
         if isinstance(reply, Err):
             return reply
-        return self._explain(reply.ok_value)
+        return self._convert_reply(reply.ok_value)
 
     async def roll_back(self, loan: SessionLoan, deadline: Monotonic) -> None:
         """Undo a lent session's transaction; it stays in doubt if it fails."""
-        await self.ask(
+        await self.send_request(
             loan.session,
             loan.session.connection.roll_back,
             deadline,
-            is_harmless=True,
+            is_retryable=True,
         )
 
-    async def ask(
+    async def send_request(
         self,
         session: PooledSession,
         send: Callable[[], Awaitable[TargetReply]],
         deadline: Monotonic,
         *,
-        is_harmless: bool,
+        is_retryable: bool,
     ) -> Result[TargetReply, Refusal]:
         """Wait for one whole reply; harmless ones are as good as not run."""
         session.is_clean = False
         if self.waiting_since is None:
             self.waiting_since = read_clock()
-        if is_harmless:
-            self._harmless.add(session)
+        if is_retryable:
+            self._retryable_sessions.add(session)
         try:
             async with timeout_at(deadline):
                 reply = await send()
         except TargetGone as gone:
-            return self._fail(Cause.CONNECTION_LOST, gone, is_harmless=True)
+            return self._fail(Cause.CONNECTION_LOST, gone, is_retryable=True)
         except TargetLost as lost:
             return self._fail(
-                Cause.CONNECTION_LOST, lost, is_harmless=is_harmless
+                Cause.CONNECTION_LOST, lost, is_retryable=is_retryable
             )
         except TimeoutError as late:
-            return self._fail(Cause.DEADLINE, late, is_harmless=is_harmless)
+            return self._fail(Cause.DEADLINE, late, is_retryable=is_retryable)
         finally:
-            self._harmless.discard(session)
+            self._retryable_sessions.discard(session)
         session.is_clean = True
         session.phase = reply.phase
         self._note_answer(reply)
@@ -339,27 +347,29 @@
         self.failed.set()
         return False
 
-    def resize(self, share: int, at_once: int) -> None:
+    def resize(self, max_connections: int, concurrency: int) -> None:
         """Change how many connections may be open, and statements run."""
-        self.pool.resize(share)
-        self.admission.resize(at_once)
+        self.pool.resize(max_connections)
+        self.admission.resize(concurrency)
 
-    def has_place(self, call: StatementCall, places: float) -> bool:
+    def has_free_slot(self, call: StatementCall, max_running: float) -> bool:
         """Tell whether a call finds fewer than `places` statements there."""
         is_transaction = call.transaction is not None
         has_connection = self.pool.has_room(is_transaction=is_transaction)
         has_turn = self.admission.has_room()
-        return has_connection and has_turn and self.admission.running < places
+        return (
+            has_connection and has_turn and self.admission.running < max_running
+        )
 
-    def has_spare(self, call: StatementCall) -> bool:
+    def has_spare_capacity(self, call: StatementCall) -> bool:
         """Tell whether half of the places are free, and one for a call."""
-        return self.has_place(call, self.admission.limit.value / 2)
+        return self.has_free_slot(call, self.admission.limit.value / 2)
 
     def is_busy(self) -> bool:
         """Tell whether anything is under way at the target."""
         return bool(self.transactions) or self.pool.lent_count > 0
 
-    async def end_idle(self, limit: Seconds) -> None:
+    async def abort_idle(self, limit: Seconds) -> None:
         """Undo the transactions without a statement for `limit`."""
         before = read_clock() - limit
         for transaction in tuple(self.transactions):
@@ -375,7 +385,7 @@
         self.admission.close()
         await self.pool.close()
         if is_lost:
-            for session in tuple(self._harmless):
+            for session in tuple(self._retryable_sessions):
                 await session.connection.close()
         for transaction in tuple(self.transactions):
             # A statement under way may still be answered; its end closes the
@@ -404,7 +414,7 @@
             after,
         )
 
-    def _explain(self, reply: TargetReply) -> Result[Answer, Refusal]:
+    def _convert_reply(self, reply: TargetReply) -> Result[Answer, Refusal]:
         refusal = reply.refusal
         if refusal is None:
             return Ok(
@@ -415,9 +425,9 @@
                     signature=reply.signature,
                 ),
             )
-        return Err(self._name_refusal(refusal))
+        return Err(self._convert_refusal(refusal))
 
-    def _name_refusal(self, refusal: TargetRefusal) -> Refusal:
+    def _convert_refusal(self, refusal: TargetRefusal) -> Refusal:
         if refusal.kind.proves_not_run:
             return NotRun(
                 _CAUSES[refusal.kind],
@@ -433,8 +443,8 @@
         self.failures = 0
         if reply.point is None:
             return
-        self.shown = _take_later(self.shown, reply.point)
-        self.tip = _take_later(self.tip, reply.point)
+        self.shown = _find_later(self.shown, reply.point)
+        self.tip = _find_later(self.tip, reply.point)
 
     def note_refusal(self, refusal: NotRun) -> None:
         """Take in that no session could be lent."""
@@ -447,18 +457,18 @@
         cause: Cause,
         error: Exception,
         *,
-        is_harmless: bool,
+        is_retryable: bool,
     ) -> Err[Refusal]:
         name = self.target.name
         reason = f'target {name}: {error or "no answer in time"}'
         self.failures += 1
         self.failed.set()
-        if is_harmless:
+        if is_retryable:
             return Err(NotRun(cause, reason, LOST_RETRY, name))
         return Err(Unknown(cause, reason, name))
 
 
-def _take_later(known: Point | None, point: Point) -> Point:
+def _find_later(known: Point | None, point: Point) -> Point:
     return point if known is None else max(known, point)
 
 
--- a/src/sedgeshunt/execution/transactions.py
+++ b/src/sedgeshunt/execution/transactions.py
@@ -13,10 +13,10 @@
 
 # Undoing a transaction takes one round trip to its target; one that takes
 # longer is undone by closing its connection.
-ROLLBACK_LIMIT = Seconds(0.5)
+ROLLBACK_TIMEOUT = Seconds(0.5)
 
 
-class TransactionPlace(ABC):
+class TransactionExecutor(ABC):
     """Run the statements of transactions at one target."""
 
     # Those that are open there.
@@ -42,7 +42,7 @@
     """Hold one transaction with the session that it alone may use."""
 
     id: TransactionId
-    executor: TransactionPlace
+    executor: TransactionExecutor
     loan: SessionLoan
     used_at: Monotonic
     # It runs at the primary, which only the group's owner may use.
@@ -63,12 +63,12 @@
     async def roll_back(self) -> None:
         """Roll it back and return the session."""
         if self.loan.session.is_clean:
-            deadline = Monotonic(read_clock() + ROLLBACK_LIMIT)
+            deadline = Monotonic(read_clock() + ROLLBACK_TIMEOUT)
             await self.executor.roll_back(self.loan, deadline)
         await self.end()
 
 
-class TransactionKeeper(ABC):
+class TransactionHost(ABC):
     """Keep transactions open for others."""
 
     @abstractmethod
@@ -87,7 +87,7 @@
         """Start with none."""
         self._open: dict[TransactionId, OpenTransaction] = {}
         # Transactions that were passed on, and to whom.
-        self._relayed: dict[TransactionId, TransactionKeeper] = {}
+        self._relayed: dict[TransactionId, TransactionHost] = {}
 
     def add(self, transaction: OpenTransaction) -> None:
         """Keep a transaction that was just begun."""
@@ -101,13 +101,13 @@
         """Forget a transaction that has ended."""
         self._open.pop(transaction.id, None)
 
-    def note_relayed(
+    def add_relayed(
         self,
         transaction: TransactionId,
-        keeper: TransactionKeeper,
+        host: TransactionHost,
     ) -> None:
         """Keep who has a transaction that was passed on."""
-        self._relayed[transaction] = keeper
+        self._relayed[transaction] = host
 
     def is_relayed(self, transaction: TransactionId) -> bool:
         """Tell whether a transaction was passed on."""
@@ -115,9 +115,9 @@
 
     async def roll_back(self, name: TransactionId) -> None:
         """Undo one transaction, wherever it is open."""
-        keeper = self._relayed.pop(name, None)
-        if keeper is not None:
-            await keeper.end_transaction(name, self)
+        host = self._relayed.pop(name, None)
+        if host is not None:
+            await host.end_transaction(name, self)
         transaction = self._open.pop(name, None)
         if transaction is not None:
             await transaction.roll_back()
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -203,10 +203,10 @@
     def _list_owned(self) -> Iterator[OwnedGroup]:
         for access in self._groups:
             owner = access.owner
-            if owner is not None and owner.reign.is_held():
+            if owner is not None and owner.ownership.is_held():
                 yield OwnedGroup(
                     access.group,
-                    owner.reign.token,
+                    owner.ownership.token,
                     owner.read_tip(),
                 )
 
--- a/src/sedgeshunt/statements/call.py
+++ b/src/sedgeshunt/statements/call.py
@@ -69,7 +69,7 @@
     identity: Identity = Identity()
 
     @property
-    def is_final(self) -> bool:
+    def is_irreversible(self) -> bool:
         """Tell whether the call, once sent, can't be taken back.
 
         Anything else in a transaction is undone with it, and reads are
--- a/src/sedgeshunt/statements/counts.py
+++ b/src/sedgeshunt/statements/counts.py
@@ -9,10 +9,10 @@
 class StatementCounts(StatementRecorder):
     """Count each statement, then have it taken down."""
 
-    def __init__(self, metrics: Metrics, onward: StatementRecorder) -> None:
+    def __init__(self, metrics: Metrics, inner: StatementRecorder) -> None:
         """Count in `metrics`, pass on to `onward`."""
         self._metrics = metrics
-        self._onward = onward
+        self._inner = inner
 
     def record(self, end: StatementRecord) -> None:
         """Count one statement by its outcome and its cause."""
@@ -24,21 +24,21 @@
                 metrics.count('requests.late')
         else:
             metrics.count(f'refusals.{_find_cause(end.refusal)}')
-        self._onward.record(end)
+        self._inner.record(end)
 
 
 class DecisionCounts(DecisionLog):
     """Count each decision, then have it taken down."""
 
-    def __init__(self, metrics: Metrics, onward: DecisionLog) -> None:
+    def __init__(self, metrics: Metrics, inner: DecisionLog) -> None:
         """Count in `metrics`, pass on to `onward`."""
         self._metrics = metrics
-        self._onward = onward
+        self._inner = inner
 
     def record(self, decision: Decision) -> None:
         """Count one decision by its kind."""
         self._metrics.count(f'decisions.{decision.kind.value}')
-        self._onward.record(decision)
+        self._inner.record(decision)
 
 
 def name_outcome(refusal: Refusal | None) -> str:
--- a/src/sedgeshunt/statements/dispatch.py
+++ b/src/sedgeshunt/statements/dispatch.py
@@ -18,13 +18,13 @@
 from sedgeshunt.statements.sites import CallSite
 
 # A call that found no owner looks again at each change, and after so long.
-LOOK_EVERY = Seconds(0.02)
+OWNER_CHECK_INTERVAL = Seconds(0.02)
 # How often the peer that reads is looked at while its answer is awaited.
-LOOK_AT_READER = Seconds(0.05)
+READER_CHECK_INTERVAL = Seconds(0.05)
 SILENT_RETRY = Seconds(0.1)
 _Outcome = Result[Answer, Refusal]
 # What ended an attempt that another one may mend.
-_PASSING = frozenset((Cause.SUPERSEDED, Cause.CONNECTION_LOST))
+_TRANSIENT_CAUSES = frozenset((Cause.SUPERSEDED, Cause.CONNECTION_LOST))
 
 
 class SiteFinder(ABC):
@@ -51,7 +51,7 @@
         """Wait until an owner may have come or gone."""
 
 
-class Dispatched(Struct, frozen=True):
+class DispatchResult(Struct, frozen=True):
     """Hold a call's outcome and the place where it ran."""
 
     outcome: Result[Answer, Refusal]
@@ -65,19 +65,19 @@
         """Look places up in `sites`."""
         self._sites = sites
         # Reads at peers that have fallen silent.
-        self._left: set[Task[_Outcome]] = set()
+        self._detached: set[Task[_Outcome]] = set()
 
     async def run(
         self,
         call: StatementCall,
         transactions: TransactionTable,
         deadline: Monotonic,
-    ) -> Dispatched:
+    ) -> DispatchResult:
         """Run a call that is not bound to a place yet."""
         if call.access is Access.REPLICA:
-            ran = await self._read(call, transactions, deadline)
-            if not isinstance(ran.outcome.err(), NotRun):
-                return ran
+            dispatched = await self._read(call, transactions, deadline)
+            if not isinstance(dispatched.outcome.err(), NotRun):
+                return dispatched
         return await self._run_at_owner(
             replace(call, access=Access.PRIMARY),
             transactions,
@@ -89,22 +89,22 @@
         call: StatementCall,
         transactions: TransactionTable,
         deadline: Monotonic,
-    ) -> Dispatched:
+    ) -> DispatchResult:
         """Read where there is room, else where the queue is shortest."""
         # A group that has lost a replica has too few places for its reads at
         # the other one, and a primary that is half idle: reads came late in the
         # replica's queue, and went to the primary only when it was too long.
         # Where the primary is busy too, they queue at the replica as before.
         prompt = replace(call, is_prompt=True)
-        ran = await self._run_at_readers(prompt, transactions, deadline)
-        if not _is_crowded(ran.outcome.err()):
-            return ran
+        dispatched = await self._run_at_readers(prompt, transactions, deadline)
+        if not _is_overloaded(dispatched.outcome.err()):
+            return dispatched
         site = self._sites.find_owner(call.group)
         if site is not None:
-            beside = replace(prompt, access=Access.PRIMARY)
-            outcome = await site.run_call(beside, transactions, deadline)
+            at_primary = replace(prompt, access=Access.PRIMARY)
+            outcome = await site.run_call(at_primary, transactions, deadline)
             if not isinstance(outcome.err(), NotRun):
-                return Dispatched(outcome, site)
+                return DispatchResult(outcome, site)
         return await self._run_at_readers(call, transactions, deadline)
 
     async def _run_at_readers(
@@ -112,18 +112,18 @@
         call: StatementCall,
         transactions: TransactionTable,
         deadline: Monotonic,
-    ) -> Dispatched:
+    ) -> DispatchResult:
         sites = self._sites.find_readers(call.group, call.identity.customer)
-        ran = Dispatched(Err(_refuse_reading(call.group)))
+        dispatched = DispatchResult(Err(_refuse_reading(call.group)))
         for site in sites:
             reading = site.run_call(call, transactions, deadline)
-            outcome = await self._wait_reading(site, call, reading)
-            ran = Dispatched(outcome, site)
+            outcome = await self._await_reader(site, call, reading)
+            dispatched = DispatchResult(outcome, site)
             if not _may_read_elsewhere(outcome.err()):
                 break
-        return ran
+        return dispatched
 
-    async def _wait_reading(
+    async def _await_reader(
         self,
         site: CallSite,
         call: StatementCall,
@@ -139,39 +139,39 @@
             return await reading
         task = create_task(reading)
         try:
-            while not (await wait((task,), timeout=LOOK_AT_READER))[0]:
+            while not (await wait((task,), timeout=READER_CHECK_INTERVAL))[0]:
                 if not site.is_answering():
-                    self._leave(task)
-                    return Err(_refuse_silent(site))
+                    self._detach(task)
+                    return Err(_refuse_unresponsive(site))
         except CancelledError:
             task.cancel()
             raise
         return task.result()
 
-    def _leave(self, task: Task[_Outcome]) -> None:
-        self._left.add(task)
-        task.add_done_callback(self._left.discard)
+    def _detach(self, task: Task[_Outcome]) -> None:
+        self._detached.add(task)
+        task.add_done_callback(self._detached.discard)
 
     async def _run_at_owner(
         self,
         call: StatementCall,
         transactions: TransactionTable,
         deadline: Monotonic,
-    ) -> Dispatched:
+    ) -> DispatchResult:
         last: Refusal | None = None
         while True:
             site = self._sites.find_owner(call.group)
             if site is not None:
                 outcome = await site.run_call(call, transactions, deadline)
                 last = outcome.err()
-                if not _may_repeat(last):
-                    return Dispatched(outcome, site)
+                if not _is_transient(last):
+                    return DispatchResult(outcome, site)
             expected_at = self._expect(call.group, site)
             if not is_worth_holding(expected_at, deadline):
                 refusal = last or _refuse(call.group, expected_at)
-                return Dispatched(Err(refusal))
+                return DispatchResult(Err(refusal))
             await self._sites.wait_change(
-                Monotonic(read_clock() + LOOK_EVERY),
+                Monotonic(read_clock() + OWNER_CHECK_INTERVAL),
             )
 
     def _expect(
@@ -180,11 +180,11 @@
         # An owner that has given its primary up knows itself whether a wait
         # for the next one is worth it.
         if site is not None:
-            return Monotonic(read_clock() + LOOK_EVERY)
+            return Monotonic(read_clock() + OWNER_CHECK_INTERVAL)
         return self._sites.expect_owner(group)
 
 
-def _is_crowded(refusal: Refusal | None) -> bool:
+def _is_overloaded(refusal: Refusal | None) -> bool:
     return isinstance(refusal, NotRun) and refusal.cause is Cause.OVERLOAD
 
 
@@ -197,13 +197,13 @@
     return NotRun(Cause.NO_TARGET, f'nobody reads group {group} here')
 
 
-def _refuse_silent(site: CallSite) -> NotRun:
+def _refuse_unresponsive(site: CallSite) -> NotRun:
     reason = f'proxy {site.name} has fallen silent'
     return NotRun(Cause.CONNECTION_LOST, reason, SILENT_RETRY)
 
 
-def _may_repeat(refusal: Refusal | None) -> bool:
-    return isinstance(refusal, NotRun) and refusal.cause in _PASSING
+def _is_transient(refusal: Refusal | None) -> bool:
+    return isinstance(refusal, NotRun) and refusal.cause in _TRANSIENT_CAUSES
 
 
 def _refuse(group: GroupId, expected_at: Monotonic | None) -> NotRun:
--- a/src/sedgeshunt/statements/owners.py
+++ b/src/sedgeshunt/statements/owners.py
@@ -25,12 +25,12 @@
 
 # From an owner's silence to the next owner's first answer: the silence itself,
 # promises and lease, a claim and a look at the primary.
-TAKEOVER_TIME = Seconds(1.3)
+TAKEOVER_ESTIMATE = Seconds(1.3)
 # From an owner's word that it gives a group up to the heir's first answer: a
 # transaction in the store, its watch, a claim and a look at the primary.
-HANDOVER_TIME = Seconds(0.3)
+HANDOVER_ESTIMATE = Seconds(0.3)
 # Readers that are asked for one read. Those behind them have the same replicas.
-MOST_READERS = 2
+MAX_READERS = 2
 
 
 class OwnerDirectory(SiteFinder):
@@ -50,23 +50,23 @@
         self._records = records
         self._lease = lease
         self._changed = changed
-        self._missed_since: dict[GroupId, Monotonic] = {}
+        self._ownerless_since: dict[GroupId, Monotonic] = {}
 
     def find_owner(self, group: GroupId) -> CallSite | None:
         """Return the place that uses the primary, None when unknown."""
-        site = self.find_direct(group) or self._find_relay(group)
+        site = self.find_direct_owner(group) or self._find_relay(group)
         if site is None:
-            self._missed_since.setdefault(group, read_clock())
+            self._ownerless_since.setdefault(group, read_clock())
         else:
-            self._missed_since.pop(group, None)
+            self._ownerless_since.pop(group, None)
         return site
 
-    def find_direct(self, group: GroupId) -> CallSite | None:
+    def find_direct_owner(self, group: GroupId) -> CallSite | None:
         """Return the owner if it is here, or is heard from here."""
         access = self._groups.get(group)
         if access is not None and access.owner is not None:
             return LocalSite(access)
-        link = self._find_newest(group)
+        link = self._find_newest_owner(group)
         return None if link is None else PeerSite(link)
 
     def find_readers(
@@ -79,9 +79,9 @@
         if access is None:
             return ()
         if customer != NOBODY:
-            homes = self._find_homes(access, customer)
-            if homes:
-                return homes
+            preferred = self._find_customer_readers(access, customer)
+            if preferred:
+                return preferred
         if access.reader.has_replicas():
             return (LocalSite(access),)
         link = self._find_reader_link(group)
@@ -90,13 +90,13 @@
     def expect_owner(self, group: GroupId) -> Monotonic | None:
         """Return when an owner should be there, None when nobody knows."""
         # Cut off alone: whoever owns the group is on the other side.
-        if not self._lease.reaches_store() and not self._hears_any():
+        if not self._lease.reaches_store() and not self._has_reachable_peer():
             return None
-        since = self._missed_since.get(group, read_clock())
+        since = self._ownerless_since.get(group, read_clock())
         record = self._records.find_record(group)
         # Given to somebody, or to be had by anybody, as after a start of all.
         is_free = record is None or record.heir or not record.owner
-        usual = HANDOVER_TIME if is_free else TAKEOVER_TIME
+        usual = HANDOVER_ESTIMATE if is_free else TAKEOVER_ESTIMATE
         expected = Monotonic(since + usual)
         return expected if read_clock() < expected else None
 
@@ -104,21 +104,25 @@
         """Wait until an owner may have come or gone."""
         await self._changed.wait(deadline)
 
-    def _hears_any(self) -> bool:
+    def _has_reachable_peer(self) -> bool:
         return any(True for _ in self._neighbours.list_heard())
 
-    def _find_newest(self, group: GroupId) -> PeerLink | None:
-        heard = [
+    def _find_newest_owner(self, group: GroupId) -> PeerLink | None:
+        candidates = [
             (link.owned[group].token, link)
             for link in self._neighbours.list_heard()
             if group in link.owned
         ]
-        stored = self._find_stored(group)
+        stored = self._find_recorded_owner(group)
         if stored is not None:
-            heard.append((self._records.find_token(group), stored))
-        return max(heard, key=lambda known: known[0])[1] if heard else None
+            candidates.append((self._records.find_token(group), stored))
+        return (
+            max(candidates, key=lambda known: known[0])[1]
+            if candidates
+            else None
+        )
 
-    def _find_homes(
+    def _find_customer_readers(
         self,
         access: GroupAccess,
         customer: CustomerId,
@@ -126,13 +130,15 @@
         ranked, count = self._groups.list_customer_readers(
             access.group, customer
         )
-        sites = map(partial(self._reach, access), ranked)
+        sites = map(partial(self._find_reader_site, access), ranked)
         reached = [site for site in sites if site is not None]
-        homes = reached[:count]
-        shuffle(homes)
-        return [*homes, *reached[count:]][:MOST_READERS]
+        preferred = reached[:count]
+        shuffle(preferred)
+        return [*preferred, *reached[count:]][:MAX_READERS]
 
-    def _reach(self, access: GroupAccess, reader: ProxyId) -> CallSite | None:
+    def _find_reader_site(
+        self, access: GroupAccess, reader: ProxyId
+    ) -> CallSite | None:
         if reader == self._neighbours.own_name:
             return LocalSite(access) if access.reader.has_replicas() else None
         link = self._neighbours.find_link(reader)
@@ -151,7 +157,7 @@
         # The hash of the names would send all callers to the same one.
         return min(links, key=_count_calls, default=None)
 
-    def _find_stored(self, group: GroupId) -> PeerLink | None:
+    def _find_recorded_owner(self, group: GroupId) -> PeerLink | None:
         # What the store said before it fell silent is no news: the owner says
         # itself whether it still is.
         owner = self._records.find_owner(group)
--- a/src/sedgeshunt/statements/peer_requests.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -16,7 +16,7 @@
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable
 from sedgeshunt.execution.primary_context import PeerQueries
-from sedgeshunt.execution.statuses import STATUS_LIMIT, read_status
+from sedgeshunt.execution.statuses import STATUS_TIMEOUT, read_status
 from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.forwarding.messages import Beat, BeatReply, KeptLease
@@ -56,7 +56,7 @@
 
 NOT_SERVED_RETRY = Seconds(0.2)
 # A peer renews a lease in one call, which the store answers in 4 ms.
-KEEP_LIMIT = Seconds(0.2)
+RENEWAL_TIMEOUT = Seconds(0.2)
 
 
 class LocalRequestHandler(PeerDesk):
@@ -122,7 +122,7 @@
         known = None if members is None else members.find(target)
         if known is None or access is None or self._heartbeats.is_stopping:
             return False
-        if known == access.probe.find_recorded():
+        if known == access.probe.find_recorded_primary():
             if access.probe.is_unreachable():
                 return False
         status = await read_status(self._connector, known)
@@ -164,7 +164,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        site = self._owners.find_direct(call.group)
+        site = self._owners.find_direct_owner(call.group)
         if site is None or isinstance(site, LocalSite):
             return Err(
                 NotRun(
@@ -174,7 +174,7 @@
                 ),
             )
         if call.transaction is not None:
-            transactions.note_relayed(call.transaction, site)
+            transactions.add_relayed(call.transaction, site)
         return await site.run_call(call, transactions, deadline)
 
 
@@ -202,27 +202,27 @@
         self._records = records
         self._find_zone = find_zone
 
-    async def find_reaching(
+    async def find_peer_reaching(
         self,
         group: GroupId,
         target: TargetId,
     ) -> ProxyId | None:
         """Return a peer that reaches a target that leads; None for none."""
-        links = dict(self._list_able())
+        links = dict(self._list_capable())
         reached = await gather(
             *(
-                link.ask_reach(group, target, STATUS_LIMIT)
+                link.ask_reach(group, target, STATUS_TIMEOUT)
                 for link in links.values()
             ),
         )
         return min(compress(links, reached), default=None)
 
-    def find_heir(self, group: GroupId) -> ProxyId | None:
+    def find_next_owner(self, group: GroupId) -> ProxyId | None:
         """Return the best candidate that reaches the store, None for none."""
         record = self._records.find_record(group)
         if record is None:
             return None
-        able = dict(self._list_able())
+        able = dict(self._list_capable())
         ranked = rank_owners(
             group,
             [able[name].peer for name in record.candidates if name in able],
@@ -233,12 +233,12 @@
     async def keep_lease(self, lease: int, era: Era) -> bool:
         """Tell whether a peer has renewed a lease of the store's era."""
         asked = KeptLease(lease, era)
-        for _, link in self._list_able():
-            if await link.keep_lease(asked, KEEP_LIMIT):
+        for _, link in self._list_capable():
+            if await link.keep_lease(asked, RENEWAL_TIMEOUT):
                 return True
         return False
 
-    def _list_able(self) -> Iterator[tuple[ProxyId, PeerLink]]:
+    def _list_capable(self) -> Iterator[tuple[ProxyId, PeerLink]]:
         for link in self._neighbours.list_answering():
             if link.reaches_store and not link.is_stopping:
                 yield link.peer.name, link
--- a/src/sedgeshunt/statements/session.py
+++ b/src/sedgeshunt/statements/session.py
@@ -31,7 +31,7 @@
     Unknown,
 )
 from sedgeshunt.statements.call import Access, CallKind, StatementCall
-from sedgeshunt.statements.dispatch import Dispatched, Dispatcher
+from sedgeshunt.statements.dispatch import DispatchResult, Dispatcher
 from sedgeshunt.statements.records import StatementRecord, StatementRecorder
 from sedgeshunt.statements.sites import CallSite
 from sedgeshunt.statements.statement import (
@@ -43,7 +43,7 @@
 MILLISECONDS = 1000
 LOST_RETRY = Seconds(0.05)
 # Where a call ran that found no place.
-NOWHERE = 'nowhere'
+NO_SITE = 'nowhere'
 UNKNOWN_STATEMENT = 'no-statement'
 MALFORMED = 'malformed'
 NO_DATABASE = 'no-database'
@@ -72,7 +72,7 @@
         self.route = route
         self.is_read_only = is_read_only
         self.site: CallSite | None = None
-        self.wrote = False
+        self.has_written = False
 
 
 class StatementSession:
@@ -122,7 +122,7 @@
         kind = statement.kind
         if kind is StatementKind.BEGIN:
             return self._begin(statement)
-        if kind in _LOCAL:
+        if kind in _SESSION_KINDS:
             return self._change_session(statement)
         if kind is StatementKind.ROLLBACK:
             return await self._roll_back()
@@ -143,7 +143,7 @@
             return _reject(NO_DATABASE, f'no route leads to {self.database}')
         identity = self._configuration.identify(self._key, route)
         if identity is None:
-            return self._shut_out()
+            return self._reject_key()
         self._transaction = CallerTransaction(
             TransactionId(f'{self._name}.{next(self._numbers)}'),
             route,
@@ -177,9 +177,9 @@
             CallKind.COMMIT,
             None,
         )
-        outcome = await self._run_in(transaction, call)
+        outcome = await self._send_in_transaction(transaction, call)
         self._transaction = None
-        if transaction.wrote and isinstance(outcome, Ok):
+        if transaction.has_written and isinstance(outcome, Ok):
             self._note_commit(call.group, outcome.ok_value)
         return outcome
 
@@ -197,7 +197,7 @@
             return _reject(NO_DATABASE, f'no route leads to {self.database}')
         identity = self._find_identity(route)
         if identity is None:
-            return self._shut_out()
+            return self._reject_key()
         call = self._make_call(
             statement,
             route,
@@ -206,7 +206,9 @@
             prepared,
         )
         if self._transaction is not None:
-            return await self._run_inside(self._transaction, call)
+            return await self._run_transaction_statement(
+                self._transaction, call
+            )
         return await self._run_single(call, route)
 
     def _find_route(self) -> Route | None:
@@ -219,84 +221,84 @@
             return self._transaction.identity
         return self._configuration.identify(self._key, route)
 
-    def _shut_out(self) -> _Outcome:
+    def _reject_key(self) -> _Outcome:
         self.is_key_revoked = True
         reason = f"the key {self._key} is no customer's; use one that is"
         return _reject(NO_CUSTOMER, reason)
 
     async def _run_single(self, call: StatementCall, route: Route) -> _Outcome:
-        began = read_clock()
+        started_at = read_clock()
         deadline = _find_deadline(route)
-        ran = await self._begin_run(call, deadline)
-        outcome = ran.outcome
-        self._record(call, ran, began)
+        dispatched = await self._admit_and_run(call, deadline)
+        outcome = dispatched.outcome
+        self._record(call, dispatched, started_at)
         if call.kind is CallKind.WRITE and isinstance(outcome, Ok):
             self._note_commit(call.group, outcome.ok_value)
         return outcome
 
-    async def _run_inside(
+    async def _run_transaction_statement(
         self,
         transaction: CallerTransaction,
         call: StatementCall,
     ) -> _Outcome:
-        transaction.wrote |= call.kind is CallKind.WRITE
-        outcome = await self._run_in(transaction, call)
+        transaction.has_written |= call.kind is CallKind.WRITE
+        outcome = await self._send_in_transaction(transaction, call)
         if isinstance(outcome, Err):
             # It ends here: nothing of it is kept, and the caller begins anew.
             self._transaction = None
-            return Err(_describe_end(outcome.err_value))
+            return Err(_convert_refusal(outcome.err_value))
         return outcome
 
-    async def _run_in(
+    async def _send_in_transaction(
         self,
         transaction: CallerTransaction,
         call: StatementCall,
     ) -> _Outcome:
-        began = read_clock()
+        started_at = read_clock()
         deadline = _find_deadline(transaction.route)
         if transaction.site is None:
             call = replace(call, begins=True)
-            ran = await self._begin_run(call, deadline)
-            transaction.site = ran.site
+            dispatched = await self._admit_and_run(call, deadline)
+            transaction.site = dispatched.site
         else:
-            ran = Dispatched(
+            dispatched = DispatchResult(
                 await transaction.site.run_call(
                     call, self._transactions, deadline
                 ),
                 transaction.site,
             )
-        self._record(call, ran, began)
-        return ran.outcome
+        self._record(call, dispatched, started_at)
+        return dispatched.outcome
 
-    async def _begin_run(
+    async def _admit_and_run(
         self,
         call: StatementCall,
         deadline: Monotonic,
-    ) -> Dispatched:
+    ) -> DispatchResult:
         """Run an operation's first statement if its customer may begin it."""
         refusal = await self._gate.admit(call.identity)
         if refusal is not None:
-            return Dispatched(Err(refusal))
+            return DispatchResult(Err(refusal))
         return await self._dispatcher.run(call, self._transactions, deadline)
 
     def _record(
         self,
         call: StatementCall,
-        ran: Dispatched,
-        began: Monotonic,
+        dispatched: DispatchResult,
+        started_at: Monotonic,
     ) -> None:
-        answer = ran.outcome.ok()
+        answer = dispatched.outcome.ok()
         self._recorder.record(
             StatementRecord(
                 call.statement,
                 self.database,
                 call.group,
                 call.kind.value,
-                ran.outcome.err(),
-                Seconds(read_clock() - began),
+                dispatched.outcome.err(),
+                Seconds(read_clock() - started_at),
                 call.objective_left,
                 self._configuration.declared.version,
-                NOWHERE if ran.site is None else ran.site.name,
+                NO_SITE if dispatched.site is None else dispatched.site.name,
                 None if answer is None else answer.served_by,
                 call.transaction,
                 call.identity,
@@ -366,7 +368,7 @@
         )
 
 
-_LOCAL = frozenset(
+_SESSION_KINDS = frozenset(
     (
         StatementKind.SET_VALUE,
         StatementKind.PREPARE,
@@ -393,7 +395,7 @@
     return Err(Rejected(0, kind, reason))
 
 
-def _describe_end(refusal: Refusal) -> Refusal:
+def _convert_refusal(refusal: Refusal) -> Refusal:
     if isinstance(refusal, NotRun) and refusal.cause is Cause.CUSTOMER_LIMIT:
         return refusal
     if isinstance(refusal, Unknown | NotRun):
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -9,7 +9,7 @@
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.transactions import (
     TransactionTable,
-    TransactionKeeper,
+    TransactionHost,
 )
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.identifiers import Monotonic, Seconds, TransactionId
@@ -17,7 +17,7 @@
 from sedgeshunt.statements.call import StatementCall
 
 
-class CallSite(TransactionKeeper):
+class CallSite(TransactionHost):
     """Run calls in one place."""
 
     # The proxy that runs them, for reports.
--- a/tests/features/node_bench.py
+++ b/tests/features/node_bench.py
@@ -351,7 +351,7 @@
         return False
     access = node.service.find_access(GROUP)
     owner = None if access is None else access.owner
-    return owner is not None and owner.reign.is_held()
+    return owner is not None and owner.ownership.is_held()
 
 
 def _describe(target: StatementTarget) -> TargetDocument:
