--- a/src/sedgeshunt/execution/__init__.py
+++ b/src/sedgeshunt/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Run callers' statements at the targets that this proxy works with."""
+"""Run callers' statements at the targets of the declared groups."""
--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -1,4 +1,4 @@
-"""Know where copies of acknowledged writes may be, listed or not."""
+"""Record which replicas may hold acknowledged writes."""
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.connections.target_session import TargetSessionConnector
@@ -10,21 +10,22 @@
 from sedgeshunt.ownership.reign import Reign
 from sedgeshunt.registry.directory import GroupMembers, list_places
 
-# A target that is replaced is listed again within seconds, one that is cut
-# off within some tens; one that is gone for good must not stop replacements.
+# A restarted target is listed again within seconds, one behind a network
+# partition within tens of seconds. A target that is gone for good must not
+# block promotions.
 FORGET_DELAY = Seconds(30)
-# The store or the replicas may be out of reach for some time.
+# Avoids repeating the attempt while the store or the replicas are unreachable.
 RETRY_DELAY = Seconds(2)
 
 
 class CopyRecorder:
-    """Note the places of copies in the group's record while one owns it.
+    """Record the places of copies in the group's record while it is owned.
 
-    Safeguard: a replica that can't reach the store loses its entry there and
-    goes on acknowledging writes for the primary. Without the note, the rest
-    would look complete, and a replica that lacks these writes would be
-    promoted. A place is forgotten only while another replica holds all that
-    the primary has.
+    A replica that cannot reach the store loses its entry there but continues
+    to acknowledge writes for the primary. Without this record the listed
+    replicas would look complete, and one that lacks these writes could be
+    promoted. A place is removed only while a listed replica holds everything
+    that the primary has acknowledged.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         records: GroupRecords,
         connector: TargetSessionConnector,
     ) -> None:
-        """Note on behalf of `reign`."""
+        """Record while `ownership` is held."""
         self._ownership = ownership
         self._records = records
         self._connector = connector
@@ -45,7 +46,7 @@
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> None:
-        """Note places that are new, and forget those that are gone."""
+        """Record new places and remove those unlisted for too long."""
         if not members.group.synchronous_replicas:
             return
         if read_clock() < self._paused_until:
@@ -78,7 +79,7 @@
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> bool:
-        """Tell whether a listed replica holds all that is acknowledged."""
+        """Return whether a listed replica holds all acknowledged writes."""
         tip = executor.tip
         others = [
             known
--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -1,4 +1,4 @@
-"""Hold all that one proxy does for one group."""
+"""Run one group's calls at this proxy, as its owner or as a reader."""
 
 from asyncio import TaskGroup, sleep
 from contextlib import AsyncExitStack
@@ -21,7 +21,7 @@
 from sedgeshunt.requests.outcome import Answer, Cause, NotRun, Refusal
 from sedgeshunt.statements.call import Access, StatementCall
 
-# The operator's limit is some seconds.
+# Short against the operator's idle limit, which is some seconds.
 IDLE_CHECK_INTERVAL = Seconds(0.5)
 MILLISECONDS = 1000
 NOT_OWNER_RETRY = Seconds(0.1)
@@ -38,7 +38,7 @@
         probe: PrimaryProbe,
         parts: PrimaryContext,
     ) -> None:
-        """Own nothing yet."""
+        """Start without owning the group."""
         self.group = group
         self.claim = claim
         self.reader = reader
@@ -48,7 +48,7 @@
         self._parts = parts
 
     async def run(self) -> None:
-        """Own the group whenever it is this instance's turn."""
+        """Serve the group's primary whenever the group is claimed."""
         async with AsyncExitStack() as owned:
             owned.push_async_callback(self.reader.close)
             tasks = await owned.enter_async_context(TaskGroup())
@@ -62,7 +62,7 @@
         return None if self.owner is None else self.owner.read_tip()
 
     def list_executors(self) -> list[TargetExecutor]:
-        """Return what runs at each of the group's targets."""
+        """Return the executors of the group's targets."""
         executors = self.reader.list_executors()
         primary = None if self.owner is None else self.owner.executor
         return executors if primary is None else [*executors, primary]
@@ -73,7 +73,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a call here."""
+        """Run a call at this proxy."""
         if call.transaction is not None and not call.begins:
             return await self._continue_transaction(
                 call, transactions, deadline
@@ -113,8 +113,8 @@
             self.owner = None
 
     async def _abort_idle(self) -> None:
-        """Undo transactions whose callers have stopped in the middle."""
-        # Each keeps a connection and, at some databases, locks.
+        """Abort transactions that have been idle for too long."""
+        # An open transaction holds a connection and, in some databases, locks.
         while True:
             await sleep(IDLE_CHECK_INTERVAL)
             members = self._parts.configuration.find_members(self.group)
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -1,4 +1,4 @@
-"""Use a group's primary, alone, for as long as this instance owns it."""
+"""Run calls at a group's primary while this instance owns the group."""
 
 from functools import partial
 from itertools import repeat
@@ -33,12 +33,12 @@
 from sedgeshunt.statements.call import StatementCall
 
 NOT_OWNER_RETRY = Seconds(0.1)
-# A read whose answer was lost is asked so many times in all.
+# Total attempts for a read whose answers are late or lost.
 READ_ATTEMPTS = 3
 
 
 class GroupOwner:
-    """Serve one group's primary during one reign."""
+    """Serve one group's primary for one period of ownership."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         manager: PrimaryManager,
         freshness: FreshnessProof,
     ) -> None:
-        """Serve nothing before run() has found the primary."""
+        """Start without a primary; run() finds it."""
         self.ownership = ownership
         self._state = state
         self._manager = manager
@@ -56,24 +56,24 @@
 
     @property
     def group(self) -> GroupId:
-        """Name the group."""
+        """Return the group's name."""
         return self.ownership.group
 
     async def run(self) -> None:
-        """Find the primary, serve it, replace it, until cancelled."""
+        """Find, serve and replace the primary until cancelled."""
         await self._manager.run()
 
     def request_handover(self, limit: Seconds) -> None:
-        """Give the group to a peer when nothing is open, or after `limit`."""
+        """Hand the group over once no transaction is open, or at `limit`."""
         self._manager.request_handover(limit)
 
     @property
     def executor(self) -> TargetExecutor | None:
-        """Return what runs at the primary; None while none is served."""
+        """Return the primary's executor, None while no primary is served."""
         return self._state.executor
 
     def read_tip(self) -> Point | None:
-        """Return the primary's log end; None when it is not served."""
+        """Return the primary's log end, None while no primary is served."""
         executor = self._state.executor
         if executor is None or not self.ownership.is_held():
             return None
@@ -87,7 +87,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a single statement, or a transaction's first one."""
+        """Run a single statement or the first one of a transaction."""
         executor = self._state.executor
         if call.is_prompt and not (
             executor and executor.has_spare_capacity(call)
@@ -141,11 +141,10 @@
         call: StatementCall,
         outcome: Result[Answer, Refusal],
     ) -> Result[Answer, Refusal]:
-        # A process that was frozen between its question and the answer may
-        # have lost the group meanwhile. What the old primary says then is no
-        # longer what all callers see: a read is asked again elsewhere, and of
-        # a write nobody can say that it was kept. So it is with a primary that
-        # was silent, was replaced, and answers after all.
+        # This process may have been paused between request and reply and lost
+        # the group meanwhile, or the primary may have been replaced before its
+        # late reply. The reply may then be stale: a read is retried elsewhere,
+        # and the outcome of a write is unknown.
         if self.ownership.is_held() and not executor.is_abandoned:
             self.read_tip()
             return outcome
--- a/src/sedgeshunt/execution/group_table.py
+++ b/src/sedgeshunt/execution/group_table.py
@@ -1,4 +1,4 @@
-"""Run the groups that the operator declares."""
+"""Start, stop and look up the groups that the operator declares."""
 
 from asyncio import Event, Task, TaskGroup
 from collections.abc import Iterator, Sequence
@@ -29,7 +29,7 @@
 
 
 class _CachedPlan(Struct, frozen=True):
-    """Hold who reads a group's replicas, for one list of instances."""
+    """Hold the reader plan of a group for one list of instances."""
 
     instances: Sequence[InstanceEntry]
     limit: int
@@ -42,13 +42,13 @@
         *,
         gathers: bool,
     ) -> bool:
-        """Tell whether the plan still holds."""
+        """Return whether the plan was made for these inputs."""
         is_same = self.limit == limit and self.plan.gathers == gathers
         return is_same and self.instances is instances
 
 
 class GroupTable:
-    """Own what this proxy does for each declared group."""
+    """Hold one GroupAccess for each declared group."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         claims: ClaimContext,
         parts: PrimaryContext,
     ) -> None:
-        """Run no group before the first configuration."""
+        """Start empty, until the first configuration is applied."""
         self.changed = Event()
         self._own = own
         self._configuration = configuration
@@ -74,32 +74,32 @@
         view.listen(self._note_change)
 
     def __iter__(self) -> Iterator[GroupAccess]:
-        """Yield what runs."""
+        """Iterate over the running groups."""
         return iter(tuple(self._groups.values()))
 
     def list_names(self) -> tuple[GroupId, ...]:
-        """Return the names of the groups that run."""
+        """Return the names of the running groups."""
         return tuple(self._groups)
 
     def get(self, group: GroupId) -> GroupAccess | None:
-        """Return what runs for a group, None when it is not declared."""
+        """Return a group's access, None if the group is not declared."""
         return self._groups.get(group)
 
     def read_tip(self, group: GroupId) -> Point | None:
-        """Return the log end of a group that is owned here."""
+        """Return a group's log end, None unless it is owned here."""
         access = self._groups.get(group)
         return None if access is None else access.read_tip()
 
     def record_tip(
         self, group: GroupId, asked_at: Boottime, tip: Point
     ) -> None:
-        """Take in a primary's log end and when it was asked for."""
+        """Record a primary's log end and when it was requested."""
         access = self._groups.get(group)
         if access is not None:
             access.freshness.note(asked_at, tip)
 
     async def apply_configuration(self, tasks: TaskGroup) -> None:
-        """Start and stop groups as they are declared."""
+        """Start newly declared groups and stop removed ones."""
         declared = {group.name for group in self._configuration.list_groups()}
         for gone in set(self._groups) - declared:
             self._tasks.pop(gone).cancel()
@@ -147,7 +147,7 @@
         return plan.find_share(self._own.zone, zone)
 
     def list_readers(self, name: GroupId) -> Sequence[ProxyId]:
-        """List the instances of the own zone that read a group's replicas."""
+        """List the readers of a group's replicas in this proxy's zone."""
         members = self._configuration.find_members(name)
         if members is None:
             return ()
@@ -158,7 +158,7 @@
         name: GroupId,
         customer: CustomerId,
     ) -> tuple[Sequence[ProxyId], int]:
-        """List where a customer's reads gather, and how many share them."""
+        """List a customer's readers by preference, and how many share."""
         members = self._configuration.find_members(name)
         if members is None:
             return (), 0
@@ -169,7 +169,8 @@
         return ranked, count_homes(share, len(ranked))
 
     def _plan_readers(self, group: Group) -> ReaderPlan:
-        # Each read asks; the answer changes with the list of instances.
+        # Cached, as each read needs the plan and it changes only with the list
+        # of instances or the configuration.
         instances = self._claims.list_instances()
         limit = group.connection_limit
         known = self._plans.get(group.name)
@@ -188,7 +189,7 @@
         return known.plan
 
     def wake(self) -> None:
-        """Have each group look whether its owner is still there."""
+        """Make each group check again whether its owner is present."""
         for access in self._groups.values():
             access.claim.changed.set()
             access.probe.wake()
@@ -201,7 +202,7 @@
     configuration: LiveConfiguration,
     group: GroupId,
 ) -> ZoneId | None:
-    """Return the zone of the target that says that it leads a group."""
+    """Return the availability zone of the target listed as primary."""
     members = configuration.find_members(group)
     if members is None:
         return None
--- a/src/sedgeshunt/execution/hedging.py
+++ b/src/sedgeshunt/execution/hedging.py
@@ -1,4 +1,4 @@
-"""Ask again elsewhere when an answer is late, and take the first to come."""
+"""Hedge reads: retry a late read elsewhere and use the first answer."""
 
 from asyncio import FIRST_COMPLETED, Task, create_task, wait
 from collections.abc import Awaitable, Callable, Iterator
@@ -11,8 +11,8 @@
 from sedgeshunt.requests.outcome import Answer, NotRun, Refusal
 from sedgeshunt.statements.call import StatementCall
 
-# A read is asked again after half of its objective, so that the second answer
-# still meets it, but no sooner than most answers take.
+# A read is hedged after half of its objective, so that the second attempt can
+# still meet it, but not before most answers arrive.
 HEDGE_SHARE = 0.5
 MIN_HEDGE_DELAY = Seconds(0.15)
 
@@ -21,18 +21,19 @@
 
 
 class Hedger:
-    """Run attempts of one read, the next when the last seems lost."""
+    """Run attempts of one read, starting the next when one is late."""
 
     def __init__(self, *, is_last_resort: bool) -> None:
-        """Start with a budget of its own.
+        """Start with a separate retry budget.
 
-        A last resort waits for the last attempt to its end; any other leaves
-        what is not answered to the next resort.
+        With `is_last_resort`, wait for the last attempt to end. Otherwise
+        return early, so that the caller can try elsewhere.
         """
         self._is_last_resort = is_last_resort
         self._budget = RetryBudget()
-        # Attempts that were overtaken: cutting them off would cost their
-        # connection, and the target has done the work anyway.
+        # Attempts whose outcome is no longer needed. They run to their end, as
+        # cancelling them would close their connection and save no work at the
+        # target.
         self._detached: set[Task[Outcome]] = set()
 
     async def run(
@@ -41,7 +42,7 @@
         attempts: Iterator[Attempt],
         deadline: Monotonic,
     ) -> Outcome | None:
-        """Return the first answer, the last refusal, None without either."""
+        """Return the first answer, else the last refusal, else None."""
         self._budget.note_request()
         running: set[Task[Outcome]] = set()
         refused: Outcome | None = None
@@ -77,7 +78,7 @@
     ) -> None:
         for task in running:
             if call.transaction is not None:
-                # It would be begun with nobody left to end it.
+                # Otherwise a transaction would be left open.
                 task.cancel()
             self._detached.add(task)
             task.add_done_callback(self._detached.discard)
@@ -91,7 +92,7 @@
     running: set[Task[Outcome]],
     delay: Seconds | None,
 ) -> Outcome | None:
-    """Return the outcome of one that has ended, None after `patience`."""
+    """Return the outcome of a task that ends within `delay`, else None."""
     done, _ = await wait(
         running,
         timeout=delay,
@@ -108,7 +109,7 @@
     running: set[Task[Outcome]],
     refused: Outcome | None,
 ) -> Outcome | None:
-    """Return the first answer, or the last refusal once all have ended."""
+    """Return the first answer, or the last refusal after all tasks end."""
     while running:
         ended = await _wait_one(running, None)
         refused = ended or refused
@@ -118,7 +119,7 @@
 
 
 def _find_hedge_delay(call: StatementCall) -> Seconds | None:
-    # A transaction is open in one place only.
+    # A transaction must be opened at one target only.
     if call.transaction is not None:
         return None
     return Seconds(max(MIN_HEDGE_DELAY, HEDGE_SHARE * call.objective_left))
--- a/src/sedgeshunt/execution/preparing.py
+++ b/src/sedgeshunt/execution/preparing.py
@@ -1,4 +1,4 @@
-"""Give a pooled session what a caller's own session would have."""
+"""Set the session values and prepared statements that a call needs."""
 
 from sedgeshunt.connections.idle_sessions import PooledSession
 from sedgeshunt.connections.target_session import SessionPhase, TargetReply
@@ -6,14 +6,14 @@
 
 
 def needs_preparing(session: PooledSession, call: StatementCall) -> bool:
-    """Tell whether a session lacks what a call needs."""
+    """Return whether a session lacks what a call needs."""
     if session.values != call.session_values:
         return True
     return call.prepared is not None and call.prepared not in session.prepared
 
 
 async def prepare(session: PooledSession, call: StatementCall) -> TargetReply:
-    """Give a session the values and the statement that a call needs."""
+    """Set a call's session values and prepare its statement."""
     reply = _NOTHING
     connection = session.connection
     if not session.values.keys() <= call.session_values.keys():
--- a/src/sedgeshunt/execution/primary_check.py
+++ b/src/sedgeshunt/execution/primary_check.py
@@ -1,4 +1,4 @@
-"""Read the signs by which a primary has to be replaced."""
+"""Check whether a primary has to be replaced."""
 
 from asyncio import TaskGroup
 
@@ -20,32 +20,32 @@
 )
 from sedgeshunt.registry.directory import GroupMembers, KnownTarget
 
-# How often an idle primary's signs of life are looked at, and the shortest
-# pause between two looks at a busy one.
+# The interval between checks of an idle primary, and the shortest one between
+# checks of a busy primary.
 CHECK_INTERVAL = Seconds(0.1)
 MIN_CHECK_INTERVAL = Seconds(0.02)
-# A primary with work that answers nothing for so long is probed.
+# A busy primary that answers nothing for this long is probed.
 STALL_TIMEOUT = Seconds(0.2)
 
 
 class PrimaryCheck(Struct, frozen=True):
-    """Hold what a primary under suspicion and those around it answered."""
+    """Hold the answers of a suspected primary, its peers and replicas."""
 
     status: LogStatus | None
-    # The end of its log that it had shown when it was asked.
+    # The primary's log end, by its replies before the check.
     shown: Point | None
-    # A peer that reaches it.
+    # A peer that reaches the primary.
     next_owner: ProxyId | None
     others: dict[TargetId, LogStatus]
 
     def has_lost_log(self) -> bool:
-        """Tell whether the primary's log ends before what it had shown."""
+        """Return whether the primary's log ends before `shown`."""
         if self.status is None:
             return False
         return is_behind(self.status.received, self.shown)
 
     def is_leading(self) -> bool:
-        """Tell whether the primary says that it leads."""
+        """Return whether the target reports itself as primary."""
         return self.status is not None and self.status.role is LogRole.PRIMARY
 
 
@@ -56,8 +56,8 @@
     known: KnownTarget,
     shown: Point | None,
 ) -> PrimaryCheck:
-    """Ask the primary, the peers and the other targets."""
-    # Each question may take its whole limit, and writes wait meanwhile.
+    """Query the primary, the peers and the other targets concurrently."""
+    # Writes wait meanwhile, and each query may take its whole timeout.
     name = known.target.name
     async with TaskGroup() as tasks:
         status = tasks.create_task(read_status(parts.connector, known))
@@ -80,7 +80,7 @@
     members: GroupMembers,
     primary: TargetId | None,
 ) -> dict[TargetId, LogStatus]:
-    """Return the statuses of the targets that could lead next."""
+    """Return the statuses of the targets that could be promoted."""
     others = [
         known
         for known in members.targets
@@ -90,7 +90,7 @@
 
 
 def is_replacement_due(members: GroupMembers, primary: TargetId) -> bool:
-    """Tell whether another target should lead soon."""
+    """Return whether the primary is leaving and can be replaced."""
     known = members.find(primary)
     if known is not None and not known.target.is_leaving():
         return False
@@ -101,13 +101,13 @@
 
 
 def has_answered_since(executor: TargetExecutor, since: Monotonic) -> bool:
-    """Tell whether a target has answered anything since a moment."""
+    """Return whether a target has answered anything since `since`."""
     answered_at = executor.answered_at
     return answered_at is not None and answered_at >= since
 
 
 def find_check_delay(executor: TargetExecutor) -> Seconds:
-    """Return the time until a stall would show."""
+    """Return the time until a stall could be detected."""
     since = executor.waiting_since
     if since is None:
         return CHECK_INTERVAL
--- a/src/sedgeshunt/execution/primary_context.py
+++ b/src/sedgeshunt/execution/primary_context.py
@@ -1,4 +1,4 @@
-"""Hold what all that looks after primaries in one proxy shares."""
+"""Hold the dependencies that the primary managers of one proxy share."""
 
 from abc import ABC, abstractmethod
 
@@ -14,7 +14,7 @@
 
 
 class PeerQueries(ABC):
-    """Ask peers about what can't be reached from here."""
+    """Query peers about what this proxy cannot reach."""
 
     @abstractmethod
     async def find_peer_reaching(
@@ -22,15 +22,15 @@
         group: GroupId,
         target: TargetId,
     ) -> ProxyId | None:
-        """Return a peer that reaches a target that leads; None for none."""
+        """Return a peer that reaches the primary `target`, None if none."""
 
     @abstractmethod
     def find_next_owner(self, group: GroupId) -> ProxyId | None:
-        """Return the best candidate that reaches the store, None for none."""
+        """Return the best candidate that reaches the store, None if none."""
 
 
 class PrimaryContext(Struct, frozen=True):
-    """Hold what all keepers of one proxy share."""
+    """Hold the dependencies shared by all primary managers."""
 
     configuration: LiveConfiguration
     connector: TargetSessionConnector
@@ -46,7 +46,7 @@
         target: TargetId,
         **reasons: object,
     ) -> None:
-        """Take down a decision about a group's primary."""
+        """Record a decision about a group's primary."""
         details = {name: str(reason) for name, reason in reasons.items()}
         details['token'] = str(ownership.token)
         self.decisions.record(Decision(kind, ownership.group, target, details))
--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -1,4 +1,4 @@
-"""Find out which target leads a group that was just taken over."""
+"""Find the primary of a group that this proxy has just claimed."""
 
 from asyncio import sleep
 
@@ -16,19 +16,19 @@
 from sedgeshunt.routing.freshness import FreshnessProof
 
 RETRY_PAUSE = Seconds(0.05)
-# With no primary in sight for so long, another target is promoted.
+# Without a primary for this long, another target is promoted.
 SEARCH_TIMEOUT = Seconds(0.3)
 
 
 class FoundPrimary(Struct, frozen=True):
-    """Hold a target that leads, and what it said of its log."""
+    """Hold a primary and the log status that it reported."""
 
     known: KnownTarget
     status: LogStatus
 
 
 class PrimaryFinder:
-    """Ask a group's targets which of them leads."""
+    """Query a group's targets for the current primary."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         parts: PrimaryContext,
         freshness: FreshnessProof,
     ) -> None:
-        """Ask on behalf of `reign`."""
+        """Search while `ownership` is held."""
         self._ownership = ownership
         self._parts = parts
         self._freshness = freshness
 
     async def find(self) -> FoundPrimary | None:
-        """Return the leader; None when there seems to be none any more."""
+        """Return the primary, None if none is found in time."""
         since = read_clock()
         while read_clock() - since < SEARCH_TIMEOUT:
             members = self.find_members()
@@ -55,16 +55,16 @@
         return None
 
     def is_settled(self) -> bool:
-        """Tell whether no promotion of an earlier owner is under way."""
+        """Return whether no promotion by an earlier owner is pending."""
         return self._parts.records.find_intent(self._ownership.group) is None
 
     def find_members(self) -> GroupMembers | None:
-        """Return the group's targets, None when none are listed."""
+        """Return the group's targets, None if none are listed."""
         members = self._parts.configuration.find_members(self._ownership.group)
         return members if members is not None and members.targets else None
 
     def read_known_tip(self) -> Point | None:
-        """Return the newest log end that is known to have been shown."""
+        """Return the newest log end that a primary is known to have had."""
         return self._freshness.newest
 
     async def _ask(self, members: GroupMembers) -> FoundPrimary | None:
@@ -88,10 +88,10 @@
         min_term: Term,
         known_tip: Point | None,
     ) -> FoundPrimary | None:
-        """Return the one that leads of those that answered, None for none.
+        """Return the primary among the targets that answered, None if none.
 
-        `least` is the newest term in which a target is known to have led,
-        `seen` the end of the log that was known when they were asked.
+        `min_term` is the newest term known to have had a primary, `known_tip`
+        the log end that was known when the targets were queried.
         """
         if self._may_miss_primary(members, statuses):
             return None
@@ -111,23 +111,25 @@
         members: GroupMembers,
         statuses: dict[TargetId, LogStatus],
     ) -> bool:
-        # A store that came back from a copy may have lost the note of who led
-        # since; the one noted says that it leads until it learns better.
+        # A store restored from a backup may lack the latest primary, and the
+        # recorded one reports itself as primary until it learns of the newer
+        # one. All targets must answer in that case.
         records = self._parts.records
         return records.is_leader_doubtful(self._ownership.group) and any(
             known.target.name not in statuses for known in members.targets
         )
 
     def has_restarted(self, known: KnownTarget | None) -> bool:
-        """Tell whether a target led in an earlier life of it.
+        """Return whether the recorded primary has restarted since.
 
-        It holds nothing of what it acknowledged then, whatever it says.
+        It has lost all writes that it acknowledged before, whatever its
+        status reports.
         """
         record = self._parts.records.find_record(self._ownership.group)
         noted = None if record is None else record.leader
         if noted is None or known is None or known.target.name != noted.target:
             return False
-        # An entry or a note without a life tells nothing.
+        # 0 stands for an entry or a record without an incarnation.
         return 0 not in (known.life, noted.life) and known.life != noted.life
 
     async def _ask_recorded(
@@ -135,9 +137,9 @@
         members: GroupMembers,
         known_tip: Point | None,
     ) -> FoundPrimary | None:
-        """Return the leader that the owner before has noted, if it leads."""
-        # Another one can lead in a higher term only by an order of an owner,
-        # and that owner would have noted it, or at least the intent.
+        """Return the recorded primary if it still reports itself as one."""
+        # Another target becomes primary in a higher term only by an owner's
+        # promotion order, and the owner records the intent before it.
         record = self._parts.records.find_record(self._ownership.group)
         if record is None or record.intent or record.leader is None:
             return None
@@ -147,7 +149,7 @@
         status = await read_status(self._parts.connector, known)
         if status is None:
             return None
-        # The term may be noted without the target that led in it.
+        # A term may be recorded without the primary of that term.
         return self.choose_primary(
             members,
             {known.target.name: status},
--- a/src/sedgeshunt/execution/primary_manager.py
+++ b/src/sedgeshunt/execution/primary_manager.py
@@ -1,4 +1,4 @@
-"""Serve a group's primary, watch it and have it replaced when it must be."""
+"""Serve a group's primary, monitor it and replace it when needed."""
 
 from asyncio import sleep, timeout
 from contextlib import suppress
@@ -11,7 +11,7 @@
 from sedgeshunt.execution.primary_finder import FoundPrimary, PrimaryFinder
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
-from sedgeshunt.execution.draining import wait_drained, wait_no_transactions
+from sedgeshunt.execution.draining import wait_drained, wait_idle
 from sedgeshunt.execution.primary_check import (
     CHECK_INTERVAL,
     STALL_TIMEOUT,
@@ -36,26 +36,26 @@
 from sedgeshunt.registry.directory import GroupMembers
 from sedgeshunt.routing.freshness import FreshnessProof
 
-# A connection that broke says little while others go on.
+# A single broken connection proves no failure while others are answered.
 SETTLE_DELAY = Seconds(0.03)
 RETRY_PAUSE = Seconds(0.05)
-# Connections to the primary that are left to its own control and to others.
+# Connections at the primary that are left to its own control and to others.
 RESERVED_CONNECTIONS = 4
-# Statements sent beyond the primary's slots, so that none of these is idle
-# while an answer is on its way.
+# Statements sent beyond the primary's slots, so that no slot is idle while a
+# reply is in transit.
 PIPELINED_STATEMENTS = 1
-# What is told to those who wait: finding a primary takes two round trips and
-# a connection, replacing one 0.3 s more.
+# Waits announced to callers: finding a primary takes two round trips and a
+# connection, a replacement 0.3 s more.
 SEARCH_ESTIMATE = Seconds(0.15)
 REPLACEMENT_ESTIMATE = Seconds(0.5)
-# A handover is over by then, or the store did not take it.
+# A handover that takes longer was not accepted by the store.
 HANDOVER_TIMEOUT = Seconds(0.5)
-# A planned replacement waits so long for a moment without transactions.
-NO_TRANSACTIONS_TIMEOUT = Seconds(2)
+# Longest wait of a planned replacement for a moment without transactions.
+IDLE_TIMEOUT = Seconds(2)
 
 
 class PrimaryManager:
-    """Keep one group's primary during one reign."""
+    """Manage one group's primary for one period of ownership."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         parts: PrimaryContext,
         freshness: FreshnessProof,
     ) -> None:
-        """Keep nothing before run()."""
+        """Start without a primary; run() finds it."""
         self._ownership = ownership
         self._state = state
         self._parts = parts
@@ -74,20 +74,20 @@
         self._copy_recorder = CopyRecorder(
             ownership, parts.records, parts.connector
         )
-        # The end of what callers were told by the primary before.
+        # Log end up to which the previous primary acknowledged writes.
         self._acknowledged: Point | None = None
         self._term = Term(0)
-        # Set once this instance stops: when what is open must have ended.
+        # Set once this instance stops: the deadline for open transactions.
         self._handover_deadline: Monotonic | None = None
         self._handover_requested_at = Boottime(0)
 
     def request_handover(self, limit: Seconds) -> None:
-        """Give the group to a peer when nothing is open, or after `limit`."""
+        """Hand the group over once no transaction is open, or at `limit`."""
         self._handover_deadline = Monotonic(read_clock() + limit)
         self._handover_requested_at = read_boottime()
 
     async def run(self) -> None:
-        """Keep the primary until cancelled."""
+        """Manage the primary until cancelled."""
         try:
             while True:
                 executor = self._state.executor
@@ -102,7 +102,7 @@
             await self._state.drop()
 
     async def _find(self) -> None:
-        """Serve the primary that the targets themselves tell, or make one."""
+        """Serve the primary that the targets report, or promote one."""
         self._state.expect(SEARCH_ESTIMATE)
         members = self._finder.find_members()
         if members is None:
@@ -122,7 +122,7 @@
         members: GroupMembers,
         lost: TargetId | None,
     ) -> dict[TargetId, LogStatus]:
-        """Ask the others once no peer reaches a primary that is lost."""
+        """Hand over to a peer that reaches `lost`, or query the others."""
         if lost is not None:
             peers = self._parts.peers
             await self._hand_over_to_reaching(
@@ -131,7 +131,7 @@
         return await read_candidate_statuses(self._parts, members, lost)
 
     def _find_unreachable_primary(self) -> TargetId | None:
-        """Return the noted primary if it is known not to answer."""
+        """Return the recorded primary if it is known not to answer."""
         recorded = self._takeover_probe.find_recorded_primary()
         if recorded is None or not self._takeover_probe.is_unreachable():
             return None
@@ -168,7 +168,7 @@
         )
 
     async def _watch(self, executor: TargetExecutor) -> None:
-        """Look once at the primary, and act on what is seen."""
+        """Check the primary once and act on the result."""
         members = self._finder.find_members()
         if members is None:
             await sleep(CHECK_INTERVAL)
@@ -208,7 +208,7 @@
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> None:
-        """Replace the primary unless it answers that it leads."""
+        """Replace the primary unless it reports that it is the primary."""
         name = executor.target.name
         known = members.find(name)
         if known is None:
@@ -255,14 +255,15 @@
         await self._hand_over_to_reaching(check.next_owner)
         statuses = check.others
         if has_answered_since(executor, asked_at):
-            # The replicas may have received more since they were asked.
+            # The primary was still answering, so the replicas may have
+            # received more of its log since their status was read.
             lost = executor.target.name
             statuses = await read_candidate_statuses(self._parts, members, lost)
         await self._replace(members, statuses, executor.tip, check.shown)
 
     async def _hand_over_to_reaching(self, next_owner: ProxyId | None) -> None:
-        """Have a peer that reaches the primary own the group."""
-        # A promotion loses what no replica has received, and takes longer.
+        """Hand the group over to a peer that reaches the primary, if any."""
+        # A promotion takes longer and loses writes that no replica received.
         if next_owner is not None:
             self._ownership.leave_to(next_owner)
             await sleep(HANDOVER_TIMEOUT)
@@ -274,7 +275,7 @@
         acknowledged: Point | None,
         known_tip: Point | None,
     ) -> None:
-        """Have another target lead, if one can."""
+        """Serve another target that already leads, or promote a replica."""
         self._state.expect(REPLACEMENT_ESTIMATE)
         leading = self._finder.choose_primary(
             members,
@@ -292,14 +293,12 @@
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> None:
-        """Replace a primary that leaves, with nothing lost and little wait."""
-        await wait_no_transactions(
-            executor, Monotonic(read_clock() + NO_TRANSACTIONS_TIMEOUT)
-        )
+        """Replace a primary that is leaving, without losing any write."""
+        await wait_idle(executor, Monotonic(read_clock() + IDLE_TIMEOUT))
         statuses = await read_candidate_statuses(
             self._parts, members, executor.target.name
         )
-        # Without a successor or the store it would be suspended for nothing.
+        # Without a successor or the store, no promotion could follow.
         if statuses and self._parts.records.reaches_store():
             await self._suspend(executor)
             await self._promote(members, statuses, executor.tip)
@@ -307,7 +306,7 @@
             await self._yield_to_next_owner()
 
     async def _suspend(self, executor: TargetExecutor) -> None:
-        """Start nothing more at the primary, and let what is open end."""
+        """Start no more statements at the primary and drain open ones."""
         self._state.expect(REPLACEMENT_ESTIMATE)
         self._state.suspend()
         await wait_drained(executor)
@@ -325,7 +324,7 @@
         statuses: dict[TargetId, LogStatus],
         acknowledged: Point | None,
     ) -> None:
-        # Once told, it stays acknowledged, however many attempts it takes.
+        # Kept across attempts: acknowledged writes must never be lost.
         self._acknowledged = acknowledged or self._acknowledged
         if not self._parts.records.reaches_store():
             await self._yield_to_next_owner()
@@ -343,12 +342,12 @@
             await self._serve(FoundPrimary(successor.known, successor.status))
 
     def _find_min_term(self) -> Term:
-        """Return the newest term in which a target is known to have led."""
+        """Return the newest term that is known to have had a primary."""
         recorded = self._parts.records.find_term(self._ownership.group)
         return max(recorded, self._term)
 
     async def _yield_to_next_owner(self) -> None:
-        """Give the group to a peer if the store answers that one only."""
+        """Hand over to a peer that reaches the store if this proxy does not."""
         await sleep(RETRY_PAUSE)
         if self._parts.records.reaches_store():
             return
@@ -357,22 +356,24 @@
             await self._hand_over(next_owner)
 
     def _find_next_owner(self) -> ProxyId | None:
-        """Return who takes the group over from a stopping instance."""
+        """Return the next owner if this instance is stopping."""
         if self._handover_deadline is None:
             return None
         return self._parts.peers.find_next_owner(self._ownership.group)
 
     def _is_store_ready(self) -> bool:
-        """Tell whether the store takes a handover now, and soon.
+        """Return whether the store would accept a handover promptly.
 
-        Safeguard: a group that is given up while the store is down or slow has
-        no owner until it is back, and all its writes are refused; in the grace
-        of a stop an owner serves most of such an outage. An answer to a
-        question of after the stop's beginning proves that it is neither.
+        A group released while the store is down or slow has no owner until
+        the store recovers, and all its writes are refused. A stopping owner
+        can serve the group through most of such an outage in its grace period.
+        A reply to a request sent after the stop began proves that the store is
+        neither down nor slow.
         """
         records = self._parts.records
         if records.is_refused_alone():
-            # The peer claims by this owner's own word.
+            # The store refuses only this proxy; the peer claims on this
+            # owner's release message instead.
             return True
         if (
             self._handover_deadline is not None
@@ -384,16 +385,15 @@
     async def _drain_and_hand_over(self, next_owner: ProxyId) -> None:
         executor = self._state.executor
         if executor is not None and self._handover_deadline is not None:
-            await wait_no_transactions(executor, self._handover_deadline)
+            await wait_idle(executor, self._handover_deadline)
             if not self._is_store_ready():
                 return
-        # The one chosen before the wait may have gone since.
+        # The peer chosen before the wait may have gone since.
         await self._hand_over(self._find_next_owner() or next_owner)
 
     async def _hand_over(self, next_owner: ProxyId) -> None:
-        """Let statements under way be answered, then give the group up."""
-        # Of a write that is answered after the end of the reign nobody can
-        # say that it was kept.
+        """Drain running statements, then give the group up."""
+        # The outcome of a write answered after the ownership ends is unknown.
         executor = self._state.executor
         if executor is not None:
             await self._suspend(executor)
--- a/src/sedgeshunt/execution/primary_probe.py
+++ b/src/sedgeshunt/execution/primary_probe.py
@@ -1,4 +1,4 @@
-"""Ask a primary whether it still leads while its owner is silent."""
+"""Probe a group's primary while the group's owner is unresponsive."""
 
 from asyncio import Event, sleep
 from collections.abc import Callable
@@ -15,16 +15,17 @@
 from sedgeshunt.registry.directory import KnownTarget
 
 PROBE_INTERVAL = Seconds(0.2)
-# Longest time between a look and the claim that makes use of it.
+# Longest time between a probe and the claim that uses its result.
 MAX_RESULT_AGE = Seconds(0.5)
 
 
 class PrimaryProbe:
-    """Know beforehand what the next owner would have to wait for."""
+    """Detect an unreachable primary before this proxy claims the group."""
 
-    # An owner is often lost together with the primary, as when their zone is
-    # cut off. That the primary does not answer takes a quarter of a second to
-    # find out, which passes while the claim has to wait anyway.
+    # An owner is often lost together with the primary, for example when their
+    # zone is cut off. Detecting that the primary does not answer takes a
+    # quarter of a second. Probing early hides this time in the wait for the
+    # owner's lease.
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         records: GroupRecords,
         connector: TargetSessionConnector,
     ) -> None:
-        """Know nothing."""
+        """Start without a result."""
         self._group = group
         self._configuration = configuration
         self._records = records
@@ -42,11 +43,11 @@
         self._wake_event = Event()
 
     def wake(self) -> None:
-        """Look whether a look is wanted."""
+        """Check again whether a probe is wanted."""
         self._wake_event.set()
 
     async def run(self, is_wanted: Callable[[], bool]) -> None:
-        """Look again and again while it is wanted, until cancelled."""
+        """Probe repeatedly while `is_wanted`, until cancelled."""
         while True:
             self._wake_event.clear()
             if is_wanted():
@@ -56,14 +57,14 @@
                 await self._wake_event.wait()
 
     def is_unreachable(self) -> bool:
-        """Tell whether the primary has just failed to answer."""
+        """Return whether the latest probe is recent and failed."""
         failed_at = self._failed_at
         return (
             failed_at is not None and read_clock() - failed_at < MAX_RESULT_AGE
         )
 
     def find_recorded_primary(self) -> KnownTarget | None:
-        """Return the target that the latest owner noted as primary."""
+        """Return the target that the latest owner recorded as primary."""
         record = self._records.find_record(self._group)
         members = self._configuration.find_members(self._group)
         if record is None or record.leader is None or members is None:
--- a/src/sedgeshunt/execution/primary_state.py
+++ b/src/sedgeshunt/execution/primary_state.py
@@ -1,4 +1,4 @@
-"""Tell which target is a group's primary now, or when one is expected."""
+"""Hold a group's current primary, or when one is expected."""
 
 from result import Err, Ok, Result
 
@@ -12,37 +12,37 @@
 
 
 class PrimaryState:
-    """Hold the executor of the primary while statements may use it."""
+    """Hold the primary's executor while statements may use it."""
 
     def __init__(self, group: GroupId) -> None:
-        """Have no primary."""
+        """Start without a primary."""
         self.group = group
         self.executor: TargetExecutor | None = None
-        # The primary that is being replaced: its open transactions may end.
+        # The primary being replaced; its open transactions may finish.
         self.suspended: TargetExecutor | None = None
         self._expected_at: Monotonic | None = None
         self._changed = ChangeSignal()
 
     def serve(self, executor: TargetExecutor) -> None:
-        """Let statements use a primary."""
+        """Let statements use `executor` as the primary."""
         self.executor = executor
         self.suspended = None
         self._changed.notify()
 
     def expect(self, within: Seconds | None) -> None:
-        """Say when a primary is expected, None when nobody knows."""
+        """Set the time until a primary is expected, None if unknown."""
         self._expected_at = (
             None if within is None else Monotonic(read_clock() + within)
         )
         self._changed.notify()
 
     def suspend(self) -> None:
-        """Start no more work at the primary; what is open may end."""
+        """Start no more work at the primary; open transactions may finish."""
         self.suspended = self.executor
         self.executor = None
 
     async def drop(self) -> None:
-        """Use the primary no more."""
+        """Stop using the primary and abandon its statements."""
         dropped = self.executor or self.suspended
         self.executor = None
         self.suspended = None
@@ -50,14 +50,14 @@
             await dropped.abandon(is_lost=True)
 
     def may_continue(self, executor: TransactionExecutor) -> bool:
-        """Tell whether a transaction at `executor` may go on."""
+        """Return whether a transaction at `executor` may continue."""
         return executor in (self.executor, self.suspended)
 
     async def wait_executor(
         self,
         deadline: Monotonic,
     ) -> Result[TargetExecutor, NotRun]:
-        """Return the primary, waiting for it while that is worth it."""
+        """Return the primary, waiting if one is expected in time."""
         while self.executor is None:
             if not is_worth_holding(self._expected_at, deadline):
                 return Err(self._refuse())
@@ -65,7 +65,7 @@
         return Ok(self.executor)
 
     def wake(self) -> None:
-        """Have those who wait look again."""
+        """Make waiting statements check the state again."""
         self._changed.notify()
 
     def _refuse(self) -> NotRun:
--- a/src/sedgeshunt/execution/replacement.py
+++ b/src/sedgeshunt/execution/replacement.py
@@ -1,4 +1,4 @@
-"""Replace a group's primary by one of its replicas."""
+"""Promote a replica to replace a group's primary."""
 
 from asyncio import sleep
 from collections.abc import Mapping
@@ -35,26 +35,26 @@
 )
 from sedgeshunt.registry.entries import ReplacementIntent
 
-# The order's answer takes some milliseconds; the platform may be slow.
+# An order is answered within some milliseconds unless the platform is slow.
 ORDER_TIMEOUT = Seconds(0.5)
-# From an order to the moment in which its target leads: 0.3 s, 1 s on large
-# installations, and a margin.
+# A promotion takes effect in 0.3 s, or 1 s on large installations; the rest is
+# a safety margin.
 EFFECT_TIMEOUT = Seconds(2.5)
 POLL_INTERVAL = Seconds(0.03)
-# A replica receives what was acknowledged within some milliseconds, if the
-# primary still sends; what it lacks after this time is lost with the primary.
+# A replica receives acknowledged writes within some milliseconds while the
+# primary still sends. Writes it lacks after this time are lost.
 CATCH_UP_TIMEOUT = Seconds(0.4)
 
 
 class Successor(Struct, frozen=True):
-    """Hold the target that is to lead, or leads, and its log."""
+    """Hold the target to promote, or already promoted, and its log status."""
 
     known: KnownTarget
     status: LogStatus
 
 
 class PrimaryReplacement:
-    """Order promotions and see them through."""
+    """Order promotions and wait for their completion."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         records: GroupRecords,
         decisions: DecisionLog,
     ) -> None:
-        """Order through `promotions`, remember in `records`."""
+        """Order through `promotions` and store intents in `records`."""
         self._connector = connector
         self._promotions = promotions
         self._records = records
@@ -77,11 +77,12 @@
         acknowledged: Point | None,
         min_term: Term,
     ) -> Successor | None:
-        """Have the replica with the furthest log lead; None if none does.
+        """Promote the replica with the longest log, None if none can be.
 
-        `statuses` are those of replicas that answered, `acknowledged` is the
-        end of what this owner told callers, None if it told nothing, `least`
-        the newest term in which a target is known to have led.
+        `statuses` are those of the replicas that answered, `acknowledged` is
+        the log end up to which this owner acknowledged writes, None if it
+        acknowledged none, `min_term` the newest term known to have had a
+        primary.
         """
         chosen = self._choose(ownership, members, statuses, min_term)
         if chosen is None:
@@ -94,8 +95,8 @@
         )
         if not is_safe:
             return None
-        # The next owner must know that an order is under way: it takes effect
-        # hundreds of milliseconds after it was sent.
+        # An order takes effect hundreds of milliseconds after it was sent. If
+        # this owner is lost meanwhile, the next one must know about it.
         target = chosen.known.target.name
         if not await self._records.note_intent(ownership, target, min_term):
             return None
@@ -106,7 +107,7 @@
         ownership: Reign,
         statuses: Mapping[TargetId, LogStatus],
     ) -> bool:
-        """See an earlier owner's order through; tell whether there was one."""
+        """Complete an earlier owner's order; return whether one is pending."""
         intent = self._records.find_intent(ownership.group)
         if intent is None:
             return False
@@ -115,8 +116,9 @@
             return False
         answer = await self._order(ownership, intent.target)
         if answer is PromotionAnswer.TARGET_DOWN:
-            # It may have led for a while before it went down, unnoted for want
-            # of the store: the one that led before can't be trusted any more.
+            # The target may have been primary before it went down, unrecorded
+            # as the store was unreachable. The primary before it cannot be
+            # trusted any more.
             await self._records.note_doubt(ownership, intent.target)
         else:
             await sleep(POLL_INTERVAL)
@@ -129,7 +131,7 @@
         statuses: Mapping[TargetId, LogStatus],
         min_term: Term,
     ) -> Successor | None:
-        """Return the replica whose log is furthest, None if that is unsure."""
+        """Return the replica with the longest log, None if uncertain."""
         target = choose_successor(ownership.group, statuses)
         known = None if target is None else members.find(target)
         if target is None or known is None:
@@ -137,7 +139,7 @@
         status = statuses[target]
         is_doubtful = self._records.is_leader_doubtful(ownership.group)
         if is_doubtful or status.term < min_term:
-            # One that is not heard may have what was written since.
+            # A target that did not answer may have newer writes.
             if _is_any_missing(members, statuses):
                 return None
         return Successor(known, status)
@@ -148,14 +150,14 @@
         intent: ReplacementIntent,
         statuses: Mapping[TargetId, LogStatus],
     ) -> bool:
-        """Tell whether an intent's order has taken effect, or is an old one."""
+        """Return whether an intent's order has taken effect or is outdated."""
         recorded = self._records.find_term(ownership.group)
         leading = {
             target: status.term
             for target, status in statuses.items()
             if status.role is LogRole.PRIMARY
         }
-        # A copy of the store may hold an intent that was cleared since.
+        # A store restored from a backup may hold an intent cleared since.
         has_newer = max(leading.values(), default=recorded) > recorded
         return intent.target in leading or has_newer
 
@@ -174,7 +176,7 @@
         )
         recorded = self._records.find_copies(members.group.name)
         max_running = recorded | list_places(members)
-        # One of them is the primary that is lost.
+        # The lost primary is among them and does not count.
         return len(max_running - list_places(reachable)) - 1
 
     async def _catch_up(
@@ -182,10 +184,10 @@
         chosen: Successor,
         acknowledged: Point | None,
     ) -> bool:
-        give_up_at = read_clock() + CATCH_UP_TIMEOUT
+        give_up = read_clock() + CATCH_UP_TIMEOUT
         status = chosen.status
         while not covers(status, acknowledged):
-            if read_clock() > give_up_at:
+            if read_clock() > give_up:
                 return False
             await sleep(POLL_INTERVAL)
             newer = await read_status(self._connector, chosen.known)
@@ -202,8 +204,8 @@
         if answer in _INEFFECTIVE_ANSWERS:
             await self._records.clear_intent(ownership)
             return None
-        give_up_at = read_clock() + EFFECT_TIMEOUT
-        while read_clock() < give_up_at and ownership.is_held():
+        give_up = read_clock() + EFFECT_TIMEOUT
+        while read_clock() < give_up and ownership.is_held():
             await sleep(POLL_INTERVAL)
             status = await read_status(self._connector, known)
             if status is not None and status.role is LogRole.PRIMARY:
@@ -221,8 +223,8 @@
         ownership: Reign,
         target: TargetId,
     ) -> PromotionAnswer:
-        # An order that could arrive after the end of this reign would be one
-        # of an owner that is none any more.
+        # The order must not arrive after this ownership has ended, when
+        # another owner may already be serving a primary.
         if not ownership.is_held_for(ORDER_TIMEOUT):
             return PromotionAnswer.NOT_TAKEN
         answer = await self._promotions.order(
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -1,4 +1,4 @@
-"""Read from a group's replicas as old a state as the caller accepts."""
+"""Read from a group's replicas within the caller's staleness bound."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -31,34 +31,34 @@
 from sedgeshunt.routing.freshness import FreshnessProof
 from sedgeshunt.statements.call import StatementCall
 
-# The caller counts a commit from its acknowledgement's arrival, this proxy
-# from its own reading; the difference is a way through the network.
+# The caller measures a commit's age from when its acknowledgement arrived,
+# this proxy from when it read the log end. They differ by a network delay.
 AGE_MARGIN = Seconds(0.1)
-# A replica that lacked what was asked for is passed over for so long.
+# How long a replica that lagged behind the required point is avoided.
 BEHIND_PAUSE = Seconds(0.1)
-# One that failed is passed over for so long, doubled at each further failure.
+# How long a failed replica is avoided; doubled at each further failure.
 FAILED_PAUSE = Seconds(0.3)
 MAX_FAILED_PAUSE = Seconds(4)
 STALE_RETRY = Seconds(0.2)
-# Of a replica's places each of its readers may fill so many times its part
-# before others count as having more room: callers stand unevenly.
+# Each reader may use this multiple of its equal share of a replica's slots
+# before reads are tried elsewhere, as callers are spread unevenly.
 SLOT_OVERCOMMIT = 2
 
 
 class Replica:
-    """Hold one replica with what reads have shown of it."""
+    """Hold one replica and the results of its recent reads."""
 
     def __init__(self, known: KnownTarget, executor: TargetExecutor) -> None:
-        """Trust it."""
+        """Start without failures."""
         self.known = known
         self.executor = executor
         self.avoided_until = Monotonic(0)
-        # Statements that it runs for this proxy without much of a queue.
+        # Statements that this proxy may run there without a long queue.
         self.max_running = 1
         self._failures = 0
 
     def record_outcome(self, refusal: Refusal | None) -> None:
-        """Take in the end of one read."""
+        """Record the outcome of one read."""
         if refusal is None:
             self._failures = 0
             return
@@ -71,14 +71,14 @@
             self._avoid(Seconds(min(MAX_FAILED_PAUSE, pause)))
 
     def is_superseded_by(self, listed: KnownTarget | None) -> bool:
-        """Tell whether the target is gone, has started anew, or elsewhere."""
+        """Return whether the target was removed, restarted or moved."""
         if listed is None or self.known.life != listed.life:
             return True
         known, target = self.known.target, listed.target
         return (known.host, known.port) != (target.host, target.port)
 
     def has_reached(self, point: Point) -> bool:
-        """Tell whether its log is known to include a point."""
+        """Return whether the replica's log is known to include a point."""
         tip = self.executor.tip
         return tip is not None and point <= tip
 
@@ -87,7 +87,7 @@
 
 
 class ReplicaReader:
-    """Choose replicas for reads and pass on what they answer."""
+    """Choose replicas for reads and run the reads there."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         freshness: FreshnessProof,
         find_share: Callable[[Group, ZoneId], ReaderShare | None],
     ) -> None:
-        """Connect to nothing before the first read."""
+        """Start without connections; reads open them."""
         self.group = group
         self._zone = zone
         self._configuration = configuration
@@ -109,7 +109,7 @@
         self._hedger = Hedger(is_last_resort=False)
 
     async def apply_configuration(self) -> None:
-        """Take in a new list of targets."""
+        """Apply a new list of targets."""
         members = self._configuration.find_members(self.group)
         shares = {} if members is None else self._find_shares(members)
         await self._close_unlisted(
@@ -137,12 +137,13 @@
         listed: Mapping[TargetId, KnownTarget],
     ) -> None:
         for name, replica in tuple(self._replicas.items()):
-            # Another life of it has nothing of what was learnt or prepared.
+            # A new incarnation has no prepared statements, and the known state
+            # of its log is void.
             if replica.is_superseded_by(listed.get(name)):
                 await self._replicas.pop(name).executor.close()
 
     def has_replicas(self) -> bool:
-        """Tell whether this instance has a share of the replicas."""
+        """Return whether this instance has a share of the replicas."""
         return bool(self._replicas)
 
     async def run_call(
@@ -151,7 +152,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Read from one replica after the other until one can serve."""
+        """Try the replicas in turn until one can serve the read."""
         if call.is_prompt and not self._has_free_slot(call):
             return Err(_refuse_queueing(self.group))
         required = self._find_required(call)
@@ -173,7 +174,7 @@
         )
 
     def list_executors(self) -> list[TargetExecutor]:
-        """Return what runs at each replica."""
+        """Return the executor of each replica."""
         return [replica.executor for replica in self._replicas.values()]
 
     async def close(self) -> None:
@@ -235,7 +236,8 @@
         replica.max_running = max(1, round(part))
 
     def _find_concurrency(self, known: KnownTarget, share: int) -> int:
-        # A connection for each customer is more than a target runs at once.
+        # With a connection per customer there are more connections than
+        # statements that a target runs at once.
         if self._configuration.has_customers():
             return min(share, known.slots)
         return share
@@ -249,7 +251,7 @@
 
 
 def list_replicas(members: GroupMembers) -> list[KnownTarget]:
-    """List the targets that may be read from without being the primary."""
+    """List the replicas that may be read from."""
     return [
         known
         for known in members.targets
--- a/src/sedgeshunt/execution/runner.py
+++ b/src/sedgeshunt/execution/runner.py
@@ -1,4 +1,4 @@
-"""Run one call at one target, inside or outside a transaction."""
+"""Begin transactions at a target and run their statements."""
 
 from asyncio import CancelledError
 from contextlib import AsyncExitStack
@@ -31,7 +31,7 @@
     *,
     is_at_primary: bool = False,
 ) -> Result[OpenTransaction, Refusal]:
-    """Begin a call's transaction at a target."""
+    """Open a call's transaction at a target."""
     if call.transaction is None:
         raise ValueError('a call outside a transaction begins none')
     lent = await executor.lend(call, deadline, is_transaction=True)
@@ -66,7 +66,7 @@
     transactions: TransactionTable,
     deadline: Monotonic,
 ) -> Result[Answer, Refusal]:
-    """Run one of a transaction's statements; a failed one ends it."""
+    """Run one statement of a transaction; a failure ends the transaction."""
     transaction.is_busy = True
     try:
         outcome = await transaction.executor.run_inside(
@@ -75,7 +75,7 @@
             deadline,
         )
     except CancelledError:
-        # Its caller has left in the middle of a statement.
+        # The caller disconnected during the statement.
         transactions.remove(transaction)
         await transaction.end()
         raise
@@ -105,7 +105,7 @@
 
 
 def _describe_loss(refusal: Refusal) -> Refusal:
-    # Its COMMIT was not sent: the target keeps nothing of it.
+    # COMMIT was not sent, so the target keeps nothing of the transaction.
     if isinstance(refusal, Rejected):
         return refusal
     return NotRun(
--- a/src/sedgeshunt/execution/statuses.py
+++ b/src/sedgeshunt/execution/statuses.py
@@ -1,4 +1,4 @@
-"""Ask a group's targets for the state of their logs."""
+"""Query a group's targets for the state of their logs."""
 
 from asyncio import TaskGroup, timeout
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 from sedgeshunt.identifiers import Seconds, TargetId
 from sedgeshunt.registry.directory import KnownTarget
 
-# A target answers within a connection's 12 ms and a wait for a slot.
+# A target answers after 12 ms for the connection and a wait for a slot.
 STATUS_TIMEOUT = Seconds(0.25)
 
 
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -1,4 +1,4 @@
-"""Run statements at one target, as many at once as it takes."""
+"""Run statements at one target within its concurrency limit."""
 
 from asyncio import CancelledError, Event, get_running_loop, timeout_at
 from collections.abc import Awaitable, Callable
@@ -43,11 +43,13 @@
 from sedgeshunt.statements.call import StatementCall
 
 LOST_RETRY = Seconds(0.1)
-# A place that waits longer than both for its answer is given to the next
-# statement: work takes at most eight times its mean.
+# A slot is passed to the next statement once it has waited longer than both
+# the minimum and this multiple of the mean latency: no statement is expected
+# to take more than eight times the mean.
 MIN_SLOT_TIMEOUT = Seconds(0.25)
 SLOT_TIMEOUT_FACTOR = 8
-# A transaction whose statement waits for so many objectives is undone.
+# A transaction is rolled back when one of its statements takes longer than
+# this multiple of the time left for its objective.
 STATEMENT_TIMEOUT_FACTOR = 2
 
 Work = Callable[[], Awaitable[Result[Answer, Refusal]]]
@@ -63,7 +65,7 @@
 
 
 class TargetExecutor(LifeCheck, TransactionExecutor):
-    """Own the sessions with one target and the queue before it."""
+    """Own the sessions with one target and the queue of its statements."""
 
     def __init__(
         self,
@@ -74,7 +76,7 @@
         *,
         is_primary: bool = False,
     ) -> None:
-        """Open at most `share` connections, run `at_once` statements."""
+        """Limit the open connections and the statements run at once."""
         self.target = target
         self._is_primary = is_primary
         self.pool = SessionPool(
@@ -87,30 +89,30 @@
             counts_stalls=not is_primary,
         )
         self._standing_queue = StandingQueue()
-        # The end of the target's log, as it last showed it.
+        # The newest log end that the target is known to have.
         self.tip: Point | None = None
-        # The same as far as answers showed it. A target that was just promoted
-        # may have received more than it shows yet.
+        # The newest log end in a reply. A target that was just promoted may
+        # have received more than its replies include yet.
         self.shown: Point | None = None
-        # When the target last answered anything, and when something was
-        # first sent that it has not answered since.
+        # When the target last replied, and when the oldest request was sent
+        # since then.
         self.answered_at: Monotonic | None = None
         self.waiting_since: Monotonic | None = None
         self.failures = 0
         self.failed = Event()
         self.transactions: set[OpenTransaction] = set()
-        # It is not the primary any more for all that this proxy knows; what
-        # it answers from now on must not be passed on.
+        # As far as this proxy knows, the target is no longer the primary. Its
+        # later replies must not be passed on.
         self.is_abandoned = False
-        # A new connection showed an end of its log before `tip`: it has started
-        # again without what it held.
+        # A new connection reported a log end before `shown`: the target has
+        # restarted without its log.
         self.has_lost_log = False
-        # Sessions with a request that can be asked again elsewhere.
+        # Sessions whose current request can be retried elsewhere.
         self._retryable_sessions: set[PooledSession] = set()
 
     @property
     def slot_timeout(self) -> Seconds:
-        """Return how long a statement keeps its place without an answer."""
+        """Return how long a statement keeps its slot without an answer."""
         usual = SLOT_TIMEOUT_FACTOR * self.admission.latency
         return Seconds(max(MIN_SLOT_TIMEOUT, usual))
 
@@ -121,9 +123,9 @@
         after: Point | None = None,
     ) -> Result[Answer, Refusal]:
         """Run one statement outside any transaction."""
-        # The connection comes first, as within transactions: a statement that
-        # has a place at the target and waits for a connection would keep out
-        # those whose end frees one.
+        # A connection is taken before a slot, as in transactions. A statement
+        # that held a slot while waiting for a connection could block the
+        # transactions that must finish to free one.
         arrived_at = read_clock()
         lent = await self.lend(call, deadline)
         if isinstance(lent, Err):
@@ -143,7 +145,7 @@
         *,
         is_transaction: bool = False,
     ) -> Result[SessionLoan, NotRun]:
-        """Lend a session for a call, or refuse it as too many wait."""
+        """Lend a session for a call, or refuse if too many calls wait."""
         arrived_at = read_clock()
         lent = await self.pool.lend(
             call.session_values,
@@ -182,9 +184,10 @@
         is_begun: bool = False,
         arrived_at: Monotonic | None = None,
     ) -> Result[Answer, Refusal]:
-        # Refused in its middle, a transaction is undone, and what it did is
-        # asked for in full once more, which makes an overload last. Those that
-        # have begun are as few as their connections, and so is their wait.
+        # Refusing a statement in the middle of a transaction rolls it back, and
+        # the retry repeats all its work, which prolongs an overload. Statements
+        # of open transactions are therefore admitted; their number and wait are
+        # bounded by the number of connections.
         admitted = await self.admission.admit(
             call.traffic_class,
             weigh_priority(call.priority),
@@ -200,8 +203,9 @@
             self._note_wait(call, arrived_at)
         started = read_clock()
         permit = admitted.ok_value
-        # A target may run a statement and lose the answer. It works on the
-        # next one long before this one is given up, so its place goes on.
+        # If a target ran the statement and its answer was lost, the target is
+        # free long before this statement's deadline. The timer passes the slot
+        # on to the next statement.
         timer = get_running_loop().call_later(self.slot_timeout, permit.cancel)
         try:
             outcome = await work()
@@ -213,7 +217,7 @@
         if isinstance(outcome, Ok):
             permit.release(Seconds(read_clock() - started), ok=True)
         else:
-            # A quick refusal says nothing of how long work takes.
+            # The time to a refusal must not count as a latency sample.
             permit.cancel()
         return outcome
 
@@ -261,7 +265,7 @@
             if prepared.ok_value.refusal is not None:
                 return Err(self._convert_refusal(prepared.ok_value.refusal))
         if call.transaction is not None and not call.is_irreversible:
-            # Given up early, the transaction can be begun again in time.
+            # An early timeout leaves time to begin the transaction again.
             statement_timeout = max(
                 MIN_SLOT_TIMEOUT, STATEMENT_TIMEOUT_FACTOR * call.objective_left
             )
@@ -299,7 +303,10 @@
         return self._convert_reply(reply.ok_value)
 
     async def roll_back(self, loan: SessionLoan, deadline: Monotonic) -> None:
-        """Undo a lent session's transaction; it stays in doubt if it fails."""
+        """Roll back a lent session's transaction.
+
+        If that fails, the session is not clean and gets closed.
+        """
         await self.send_request(
             loan.session,
             loan.session.connection.roll_back,
@@ -315,7 +322,10 @@
         *,
         is_retryable: bool,
     ) -> Result[TargetReply, Refusal]:
-        """Wait for one whole reply; harmless ones are as good as not run."""
+        """Send a request and wait for its whole reply.
+
+        A failed request that is retryable counts as not run.
+        """
         session.is_clean = False
         if self.waiting_since is None:
             self.waiting_since = read_clock()
@@ -340,7 +350,7 @@
         return Ok(reply)
 
     def check_life(self, seen: Point | None, session: TargetSession) -> bool:
-        """Tell whether a new session's log has what was `seen` before it."""
+        """Return whether a new session's log reaches the point `seen`."""
         if not self._is_primary or not is_behind(session.point, seen):
             return True
         self.has_lost_log = True
@@ -348,12 +358,15 @@
         return False
 
     def resize(self, max_connections: int, concurrency: int) -> None:
-        """Change how many connections may be open, and statements run."""
+        """Change the limits of open connections and running statements."""
         self.pool.resize(max_connections)
         self.admission.resize(concurrency)
 
     def has_free_slot(self, call: StatementCall, max_running: float) -> bool:
-        """Tell whether a call finds fewer than `places` statements there."""
+        """Return whether a call could run at once beside others.
+
+        At most `max_running` statements may run, the call included.
+        """
         is_transaction = call.transaction is not None
         has_connection = self.pool.has_room(is_transaction=is_transaction)
         has_turn = self.admission.has_room()
@@ -362,24 +375,25 @@
         )
 
     def has_spare_capacity(self, call: StatementCall) -> bool:
-        """Tell whether half of the places are free, and one for a call."""
+        """Return whether a call could run with half of the slots in use."""
         return self.has_free_slot(call, self.admission.limit.value / 2)
 
     def is_busy(self) -> bool:
-        """Tell whether anything is under way at the target."""
+        """Return whether a transaction is open or a session is in use."""
         return bool(self.transactions) or self.pool.lent_count > 0
 
     async def abort_idle(self, limit: Seconds) -> None:
-        """Undo the transactions without a statement for `limit`."""
+        """Abort transactions that ran no statement for `limit`."""
         before = read_clock() - limit
         for transaction in tuple(self.transactions):
             if not transaction.is_busy and transaction.used_at < before:
                 await transaction.abort()
 
     async def abandon(self, *, is_lost: bool) -> None:
-        """Start nothing more and undo what waits for its caller.
+        """Start no more work and abort transactions without a statement.
 
-        Reads at a target that is lost end at once, to be asked elsewhere.
+        With `is_lost`, retryable requests fail at once and can be retried
+        elsewhere.
         """
         self.is_abandoned = True
         self.admission.close()
@@ -388,8 +402,8 @@
             for session in tuple(self._retryable_sessions):
                 await session.connection.close()
         for transaction in tuple(self.transactions):
-            # A statement under way may still be answered; its end closes the
-            # connection.
+            # A running statement may still be answered; the connection is
+            # closed at its end.
             if not transaction.is_busy:
                 await transaction.abort()
 
@@ -447,7 +461,7 @@
         self.tip = _find_later(self.tip, reply.point)
 
     def note_refusal(self, refusal: NotRun) -> None:
-        """Take in that no session could be lent."""
+        """Count a failure if no session could be lent for lack of a target."""
         if refusal.cause is Cause.CONNECTION_LOST:
             self.failures += 1
             self.failed.set()
@@ -473,9 +487,9 @@
 
 
 def weigh_priority(priority: int) -> int:
-    """Return the share of a busy target that a priority gets."""
+    """Return the weight of a priority in a busy target's queue."""
     return _WEIGHTS[min(max(priority, 0), len(_WEIGHTS) - 1)]
 
 
-# Of the slots of a busy target; each priority gets twice the next one's.
+# Each priority gets twice as many slots of a busy target as the next one.
 _WEIGHTS = (16, 8, 4, 2, 1)
--- a/src/sedgeshunt/execution/transactions.py
+++ b/src/sedgeshunt/execution/transactions.py
@@ -1,4 +1,4 @@
-"""Keep the transactions that callers have open at targets."""
+"""Track the transactions that callers have open at targets."""
 
 from abc import ABC, abstractmethod
 
@@ -11,17 +11,17 @@
 from sedgeshunt.requests.outcome import Answer, Refusal
 from sedgeshunt.statements.call import StatementCall
 
-# Undoing a transaction takes one round trip to its target; one that takes
-# longer is undone by closing its connection.
+# A rollback takes one round trip to the target. If it takes longer than this,
+# the connection is closed instead.
 ROLLBACK_TIMEOUT = Seconds(0.5)
 
 
 class TransactionExecutor(ABC):
     """Run the statements of transactions at one target."""
 
-    # Those that are open there.
+    # The transactions that are open at the target.
     transactions: set['OpenTransaction']
-    # What it answers from now on must not be passed on.
+    # Replies of the target must no longer be passed on.
     is_abandoned: bool
 
     @abstractmethod
@@ -35,33 +35,36 @@
 
     @abstractmethod
     async def roll_back(self, loan: SessionLoan, deadline: Monotonic) -> None:
-        """Undo a lent session's transaction; it stays in doubt if it fails."""
+        """Roll back a lent session's transaction.
+
+        If that fails, the session is not clean and gets closed.
+        """
 
 
 class OpenTransaction(Struct, eq=False):
-    """Hold one transaction with the session that it alone may use."""
+    """Hold one transaction and its exclusive session."""
 
     id: TransactionId
     executor: TransactionExecutor
     loan: SessionLoan
     used_at: Monotonic
-    # It runs at the primary, which only the group's owner may use.
+    # The transaction runs at the primary, which only the owner may use.
     is_at_primary: bool = False
-    # A statement of it is under way.
+    # A statement of the transaction is running.
     is_busy: bool = False
 
     async def end(self) -> None:
-        """Return the session; one in doubt is closed and so undone."""
+        """Return the session, or close it if its state is uncertain."""
         self.executor.transactions.discard(self)
         await self.loan.give_back()
 
     async def abort(self) -> None:
-        """Undo it at once by closing its connection."""
+        """Abort the transaction at once by closing its connection."""
         self.loan.session.is_clean = False
         await self.end()
 
     async def roll_back(self) -> None:
-        """Roll it back and return the session."""
+        """Roll the transaction back and return the session."""
         if self.loan.session.is_clean:
             deadline = Monotonic(read_clock() + ROLLBACK_TIMEOUT)
             await self.executor.roll_back(self.loan, deadline)
@@ -69,7 +72,7 @@
 
 
 class TransactionHost(ABC):
-    """Keep transactions open for others."""
+    """Hold transactions that were relayed to this host."""
 
     @abstractmethod
     async def end_transaction(
@@ -77,20 +80,20 @@
         transaction: TransactionId,
         transactions: 'TransactionTable',
     ) -> None:
-        """Undo a transaction that its caller gives up."""
+        """Roll back a transaction that its caller gave up."""
 
 
 class TransactionTable:
-    """Hold the open transactions of one origin: a caller or a peer."""
+    """Hold the open transactions of one caller or peer."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without transactions."""
         self._open: dict[TransactionId, OpenTransaction] = {}
-        # Transactions that were passed on, and to whom.
+        # Hosts of relayed transactions.
         self._relayed: dict[TransactionId, TransactionHost] = {}
 
     def add(self, transaction: OpenTransaction) -> None:
-        """Keep a transaction that was just begun."""
+        """Add a transaction that was just begun."""
         self._open[transaction.id] = transaction
 
     def get(self, transaction: TransactionId) -> OpenTransaction | None:
@@ -98,7 +101,7 @@
         return self._open.get(transaction)
 
     def remove(self, transaction: OpenTransaction) -> None:
-        """Forget a transaction that has ended."""
+        """Remove a transaction that has ended."""
         self._open.pop(transaction.id, None)
 
     def add_relayed(
@@ -106,15 +109,15 @@
         transaction: TransactionId,
         host: TransactionHost,
     ) -> None:
-        """Keep who has a transaction that was passed on."""
+        """Record the host of a relayed transaction."""
         self._relayed[transaction] = host
 
     def is_relayed(self, transaction: TransactionId) -> bool:
-        """Tell whether a transaction was passed on."""
+        """Return whether a transaction was relayed."""
         return transaction in self._relayed
 
     async def roll_back(self, name: TransactionId) -> None:
-        """Undo one transaction, wherever it is open."""
+        """Roll back one transaction, here or at its host."""
         host = self._relayed.pop(name, None)
         if host is not None:
             await host.end_transaction(name, self)
@@ -123,6 +126,6 @@
             await transaction.roll_back()
 
     async def roll_back_all(self) -> None:
-        """Undo what is left when the origin has gone."""
+        """Roll back all transactions after the caller or peer has gone."""
         for name in (*self._relayed, *self._open):
             await self.roll_back(name)
--- a/src/sedgeshunt/statements/call.py
+++ b/src/sedgeshunt/statements/call.py
@@ -70,7 +70,7 @@
 
     @property
     def is_irreversible(self) -> bool:
-        """Tell whether the call, once sent, can't be taken back.
+        """Return whether the call, once sent, can't be taken back.
 
         Anything else in a transaction is undone with it, and reads are
         harmless.
--- a/src/sedgeshunt/statements/peer_requests.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -116,7 +116,7 @@
         await transactions.roll_back(transaction)
 
     async def reaches(self, group: GroupId, target: TargetId) -> bool:
-        """Tell whether a target that leads its group is reached from here."""
+        """Return whether a target that leads its group is reached from here."""
         access = self._groups.get(group)
         members = self._configuration.find_members(group)
         known = None if members is None else members.find(target)
@@ -231,7 +231,7 @@
         return ranked[0].name if ranked else None
 
     async def keep_lease(self, lease: int, era: Era) -> bool:
-        """Tell whether a peer has renewed a lease of the store's era."""
+        """Return whether a peer has renewed a lease of the store's era."""
         asked = KeptLease(lease, era)
         for _, link in self._list_capable():
             if await link.keep_lease(asked, RENEWAL_TIMEOUT):
--- a/src/sedgeshunt/statements/session.py
+++ b/src/sedgeshunt/statements/session.py
@@ -107,14 +107,14 @@
 
     @property
     def phase(self) -> SessionPhase:
-        """Tell whether a transaction is open."""
+        """Return whether a transaction is open."""
         if self._transaction is None:
             return SessionPhase.IDLE
         return SessionPhase.OPEN
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether the caller has a transaction to end."""
+        """Return whether the caller has a transaction to end."""
         return self._transaction is not None
 
     async def answer(self, statement: Statement) -> _Outcome:
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -34,7 +34,7 @@
 
     @abstractmethod
     def is_answering(self) -> bool:
-        """Tell whether the place has answered the latest heartbeats."""
+        """Return whether the place has answered the latest heartbeats."""
 
 
 class LocalSite(CallSite):
@@ -88,7 +88,7 @@
         return await self._link.call(sent, deadline)
 
     def is_answering(self) -> bool:
-        """Tell whether the peer has answered the latest heartbeats."""
+        """Return whether the peer has answered the latest heartbeats."""
         return self._link.is_answering()
 
     async def end_transaction(
--- a/tests/features/node_callers.py
+++ b/tests/features/node_callers.py
@@ -25,7 +25,7 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether it was acknowledged."""
+        """Return whether it was acknowledged."""
         return isinstance(self.outcome, Ok)
 
     @property
--- a/tests/standins/statement_group.py
+++ b/tests/standins/statement_group.py
@@ -102,7 +102,7 @@
         return self.log[self.applied - 1].point
 
     def covers(self, point: Point) -> bool:
-        """Tell whether what reads see includes a place in the log."""
+        """Return whether what reads see includes a place in the log."""
         return any(commit.point == point for commit in self.log[: self.applied])
 
     def read(self, item: str) -> str:
