--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -1,4 +1,4 @@
-"""Know where copies of acknowledged writes may be, listed or not."""
+"""Record which replicas may hold acknowledged writes."""
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.connections.target_session import TargetSessionConnector
@@ -10,56 +10,57 @@
 from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.directory import GroupMembers, list_places
 
-# A target that is replaced is listed again within seconds, one that is cut
-# off within some tens; one that is gone for good must not stop replacements.
-FORGET_AFTER = Seconds(30)
-# The store or the replicas may be out of reach for some time.
-RETRY_AFTER = Seconds(2)
+# A restarted target is listed again within seconds, one behind a network
+# partition within tens of seconds. A target that is gone for good must not
+# block promotions.
+FORGET_DELAY = Seconds(30)
+# Avoids repeating the attempt while the store or the replicas are unreachable.
+RETRY_DELAY = Seconds(2)
 
 
-class CopyNotes:
-    """Note the places of copies in the group's record while one owns it.
+class CopyRecorder:
+    """Record the places of copies in the group's record while it is owned.
 
-    Safeguard: a replica that can't reach the store loses its entry there and
-    goes on acknowledging writes for the primary. Without the note, the rest
-    would look complete, and a replica that lacks these writes would be
-    promoted. A place is forgotten only while another replica holds all that
-    the primary has.
+    A replica that cannot reach the store loses its entry there but continues
+    to acknowledge writes for the primary. Without this record the listed
+    replicas would look complete, and one that lacks these writes could be
+    promoted. A place is removed only while a listed replica holds everything
+    that the primary has acknowledged.
     """
 
     def __init__(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         records: GroupRecords,
         connector: TargetSessionConnector,
     ) -> None:
-        """Note on behalf of `reign`."""
-        self._reign = reign
+        """Record while `ownership` is held."""
+        self._ownership = ownership
         self._records = records
         self._connector = connector
         self._absent_since: dict[CopyPlace, Monotonic] = {}
         self._paused_until = Monotonic(0)
 
-    async def keep(
+    async def update(
         self,
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> None:
-        """Note places that are new, and forget those that are gone."""
+        """Record new places and remove those unlisted for too long."""
         if not members.group.synchronous_replicas:
             return
         if read_clock() < self._paused_until:
             return
-        noted = self._records.find_copies(self._reign.group)
+        recorded = self._records.find_copies(self._ownership.group)
         listed = list_places(members)
-        gone = self._find_gone(noted - listed)
-        if listed - noted:
-            await self._note(noted | listed)
+        gone = self._find_gone(recorded - listed)
+        if listed - recorded:
+            await self._record(recorded | listed)
         elif gone and await self._is_covered(members, executor):
-            await self._note(noted - gone)
+            await self._record(recorded - gone)
 
-    async def _note(self, places: frozenset[CopyPlace]) -> None:
-        if not await self._records.record_copies(self._reign, places):
+    async def _record(self, max_running: frozenset[CopyPlace]) -> None:
+        if not await self._records.record_copies(self._ownership, max_running):
             self._pause()
 
     def _find_gone(self, absent: frozenset[CopyPlace]) -> frozenset[CopyPlace]:
@@ -70,7 +71,7 @@
         return frozenset(
             place
             for place, since in self._absent_since.items()
-            if now - since > FORGET_AFTER
+            if now - since > FORGET_DELAY
         )
 
     async def _is_covered(
@@ -78,7 +79,7 @@
         members: GroupMembers,
         executor: TargetExecutor,
     ) -> bool:
-        """Tell whether a listed replica holds all that is acknowledged."""
+        """Return whether a listed replica holds all acknowledged writes."""
         tip = executor.tip
         others = [
             known
@@ -92,4 +93,4 @@
         return False
 
     def _pause(self) -> None:
-        self._paused_until = Monotonic(read_clock() + RETRY_AFTER)
+        self._paused_until = Monotonic(read_clock() + RETRY_DELAY)
--- a/src/sedgeshunt/execution/group_access.py
+++ b/src/sedgeshunt/execution/group_access.py
@@ -1,4 +1,4 @@
-"""Hold all that one proxy does for one group."""
+"""Run one group's calls at this proxy, as its owner or as a reader."""
 
 from asyncio import TaskGroup, sleep
 from contextlib import AsyncExitStack
@@ -7,7 +7,7 @@
 
 from sedgeshunt.execution.group_owner import GroupOwner
 from sedgeshunt.execution.primary_context import PrimaryContext
-from sedgeshunt.execution.primary_keeper import PrimaryKeeper
+from sedgeshunt.execution.primary_manager import PrimaryManager
 from sedgeshunt.execution.primary_probe import PrimaryProbe
 from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.replica_reader import ReplicaReader
@@ -21,8 +21,8 @@
 from sedgeshunt.requests.outcome import Answer, Cause, NotRun, Refusal
 from sedgeshunt.statements.call import Access, StatementCall
 
-# The operator's limit is some seconds.
-IDLE_LOOK = Seconds(0.5)
+# Short against the operator's idle limit, which is some seconds.
+IDLE_CHECK_INTERVAL = Seconds(0.5)
 MILLISECONDS = 1000
 NOT_OWNER_RETRY = Seconds(0.1)
 
@@ -38,7 +38,7 @@
         probe: PrimaryProbe,
         parts: PrimaryContext,
     ) -> None:
-        """Own nothing yet."""
+        """Start without owning the group."""
         self.group = group
         self.claim = claim
         self.reader = reader
@@ -48,14 +48,14 @@
         self._parts = parts
 
     async def run(self) -> None:
-        """Own the group whenever it is this instance's turn."""
+        """Serve the group's primary whenever the group is claimed."""
         async with AsyncExitStack() as owned:
             owned.push_async_callback(self.reader.close)
             tasks = await owned.enter_async_context(TaskGroup())
             tasks.create_task(
                 self.probe.run(lambda: self.claim.is_claim_expected)
             )
-            tasks.create_task(self._end_idle())
+            tasks.create_task(self._abort_idle())
             while True:
                 await self._serve(await self.claim.wait_ownership())
 
@@ -64,7 +64,7 @@
         return None if self.owner is None else self.owner.read_tip()
 
     def list_executors(self) -> list[TargetExecutor]:
-        """Return what runs at each of the group's targets."""
+        """Return the executors of the group's targets."""
         executors = self.reader.list_executors()
         primary = None if self.owner is None else self.owner.executor
         return executors if primary is None else [*executors, primary]
@@ -75,9 +75,11 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a call here."""
+        """Run a call at this proxy."""
         if call.transaction is not None and not call.begins:
-            return await self._continue(call, transactions, deadline)
+            return await self._continue_transaction(
+                call, transactions, deadline
+            )
         if call.access is Access.REPLICA:
             return await self.reader.run_call(call, transactions, deadline)
         if self.owner is None:
@@ -90,13 +92,13 @@
             )
         return await self.owner.run_call(call, transactions, deadline)
 
-    async def _serve(self, reign: GroupOwnership) -> None:
+    async def _serve(self, ownership: GroupOwnership) -> None:
         state = PrimaryState(self.group)
         owner = GroupOwner(
-            reign,
+            ownership,
             state,
-            PrimaryKeeper(
-                reign, state, self.probe, self._parts, self.freshness
+            PrimaryManager(
+                ownership, state, self.probe, self._parts, self.freshness
             ),
             self.freshness,
         )
@@ -104,27 +106,27 @@
         try:
             async with TaskGroup() as tasks:
                 serving = tasks.create_task(owner.run())
-                await self.claim.hold(reign)
+                await self.claim.hold(ownership)
                 self.owner = None
                 state.wake()
                 serving.cancel()
         finally:
-            reign.end()
+            ownership.end()
             self.owner = None
 
-    async def _end_idle(self) -> None:
-        """Undo transactions whose callers have stopped in the middle."""
-        # Each keeps a connection and, at some databases, locks.
+    async def _abort_idle(self) -> None:
+        """Abort transactions that have been idle for too long."""
+        # An open transaction holds a connection and, in some databases, locks.
         while True:
-            await sleep(IDLE_LOOK)
+            await sleep(IDLE_CHECK_INTERVAL)
             members = self._parts.configuration.find_members(self.group)
             if members is None or not members.group.transaction_idle_ms:
                 continue
             limit = members.group.transaction_idle_ms / MILLISECONDS
             for executor in self.list_executors():
-                await executor.end_idle(Seconds(limit))
+                await executor.abort_idle(Seconds(limit))
 
-    async def _continue(
+    async def _continue_transaction(
         self,
         call: StatementCall,
         transactions: TransactionTable,
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -1,4 +1,4 @@
-"""Use a group's primary, alone, for as long as this instance owns it."""
+"""Run calls at a group's primary while this instance owns the group."""
 
 from functools import partial
 from itertools import repeat
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_boottime
 from sedgeshunt.execution.hedging import Hedger
-from sedgeshunt.execution.primary_keeper import PrimaryKeeper
+from sedgeshunt.execution.primary_manager import PrimaryManager
 from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.runner import (
     begin_transaction,
@@ -17,7 +17,7 @@
 from sedgeshunt.execution.transactions import (
     OpenTransaction,
     TransactionTable,
-    TransactionPlace,
+    TransactionExecutor,
 )
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds, TransactionId
@@ -33,49 +33,49 @@
 from sedgeshunt.statements.call import StatementCall
 
 NOT_OWNER_RETRY = Seconds(0.1)
-# A read whose answer was lost is asked so many times in all.
+# Total attempts for a read whose answers are late or lost.
 READ_ATTEMPTS = 3
 
 
 class GroupOwner:
-    """Serve one group's primary during one reign."""
+    """Serve one group's primary for one period of ownership."""
 
     def __init__(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         state: PrimaryState,
-        keeper: PrimaryKeeper,
+        manager: PrimaryManager,
         freshness: FreshnessHistory,
     ) -> None:
-        """Serve nothing before run() has found the primary."""
-        self.reign = reign
+        """Start without a primary; run() finds it."""
+        self.ownership = ownership
         self._state = state
-        self._keeper = keeper
+        self._manager = manager
         self._freshness = freshness
         self._hedger = Hedger(is_last_resort=True)
 
     @property
     def group(self) -> GroupId:
-        """Name the group."""
-        return self.reign.group
+        """Return the group's name."""
+        return self.ownership.group
 
     async def run(self) -> None:
-        """Find the primary, serve it, replace it, until cancelled."""
-        await self._keeper.run()
+        """Find, serve and replace the primary until cancelled."""
+        await self._manager.run()
 
     def request_handover(self, limit: Seconds) -> None:
-        """Give the group to a peer when nothing is open, or after `limit`."""
-        self._keeper.leave(limit)
+        """Hand the group over once no transaction is open, or at `limit`."""
+        self._manager.request_handover(limit)
 
     @property
     def executor(self) -> TargetExecutor | None:
-        """Return what runs at the primary; None while none is served."""
+        """Return the primary's executor, None while no primary is served."""
         return self._state.executor
 
     def read_tip(self) -> Point | None:
-        """Return the primary's log end; None when it is not served."""
+        """Return the primary's log end, None while no primary is served."""
         executor = self._state.executor
-        if executor is None or not self.reign.is_held():
+        if executor is None or not self.ownership.is_held():
             return None
         if executor.tip is not None:
             self._freshness.record(read_boottime(), executor.tip)
@@ -87,16 +87,18 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a single statement, or a transaction's first one."""
+        """Run a single statement or the first one of a transaction."""
         executor = self._state.executor
-        if call.is_prompt and not (executor and executor.has_spare(call)):
+        if call.is_prompt and not (
+            executor and executor.has_spare_capacity(call)
+        ):
             return Err(_refuse_queueing(self.group))
         attempt = partial(self._try, call, transactions, deadline)
-        if call.is_final:
+        if call.is_irreversible:
             return await attempt()
         attempts = repeat(attempt, READ_ATTEMPTS)
         outcome = await self._hedger.run(call, attempts, deadline)
-        return outcome or Err(_refuse_reign())
+        return outcome or Err(_refuse_not_owner())
 
     async def _try(
         self,
@@ -104,8 +106,8 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        if not self.reign.is_held():
-            return Err(_refuse_reign())
+        if not self.ownership.is_held():
+            return Err(_refuse_not_owner())
         found = await self._state.wait_executor(deadline)
         if isinstance(found, Err):
             return found
@@ -125,9 +127,9 @@
     ) -> Result[Answer, Refusal]:
         """Run a later statement of a transaction at the primary."""
         may_go_on = self._state.may_continue(transaction.executor)
-        if not may_go_on or not self.reign.is_held():
+        if not may_go_on or not self.ownership.is_held():
             await _drop(transactions, transaction.id)
-            return Err(_refuse_reign(Cause.TRANSACTION_LOST))
+            return Err(_refuse_not_owner(Cause.TRANSACTION_LOST))
         outcome = await run_in_transaction(
             transaction, call, transactions, deadline
         )
@@ -135,21 +137,20 @@
 
     def _check(
         self,
-        executor: TransactionPlace,
+        executor: TransactionExecutor,
         call: StatementCall,
         outcome: Result[Answer, Refusal],
     ) -> Result[Answer, Refusal]:
-        # A process that was frozen between its question and the answer may
-        # have lost the group meanwhile. What the old primary says then is no
-        # longer what all callers see: a read is asked again elsewhere, and of
-        # a write nobody can say that it was kept. So it is with a primary that
-        # was silent, was replaced, and answers after all.
-        if self.reign.is_held() and not executor.is_abandoned:
+        # This process may have been paused between request and reply and lost
+        # the group meanwhile, or the primary may have been replaced before its
+        # late reply. The reply may then be stale: a read is retried elsewhere,
+        # and the outcome of a write is unknown.
+        if self.ownership.is_held() and not executor.is_abandoned:
             self.read_tip()
             return outcome
         if isinstance(outcome, Err):
             return outcome
-        if call.is_final:
+        if call.is_irreversible:
             return Err(
                 Unknown(
                     Cause.SUPERSEDED,
@@ -157,8 +158,8 @@
                 ),
             )
         if call.transaction is None:
-            return Err(_refuse_reign())
-        return Err(_refuse_reign(Cause.TRANSACTION_LOST))
+            return Err(_refuse_not_owner())
+        return Err(_refuse_not_owner(Cause.TRANSACTION_LOST))
 
 
 async def _run_at(
@@ -195,7 +196,7 @@
     return NotRun(Cause.OVERLOAD, reason, NOT_OWNER_RETRY)
 
 
-def _refuse_reign(cause: Cause = Cause.SUPERSEDED) -> NotRun:
+def _refuse_not_owner(cause: Cause = Cause.SUPERSEDED) -> NotRun:
     return NotRun(
         cause,
         'this proxy does not own the group any more; ask again',
--- a/src/sedgeshunt/execution/primary_context.py
+++ b/src/sedgeshunt/execution/primary_context.py
@@ -1,4 +1,4 @@
-"""Hold what all that looks after primaries in one proxy shares."""
+"""Hold the dependencies that the primary managers of one proxy share."""
 
 from abc import ABC, abstractmethod
 
@@ -14,23 +14,23 @@
 
 
 class PeerQueries(ABC):
-    """Ask peers about what can't be reached from here."""
+    """Query peers about what this proxy cannot reach."""
 
     @abstractmethod
-    async def find_reaching(
+    async def find_peer_reaching(
         self,
         group: GroupId,
         target: TargetId,
     ) -> ProxyId | None:
-        """Return a peer that reaches a target that leads; None for none."""
+        """Return a peer that reaches the primary `target`, None if none."""
 
     @abstractmethod
-    def find_heir(self, group: GroupId) -> ProxyId | None:
-        """Return the best candidate that reaches the store, None for none."""
+    def find_next_owner(self, group: GroupId) -> ProxyId | None:
+        """Return the best candidate that reaches the store, None if none."""
 
 
 class PrimaryContext(Struct, frozen=True):
-    """Hold what all keepers of one proxy share."""
+    """Hold the dependencies shared by all primary managers."""
 
     configuration: LiveConfiguration
     connector: TargetSessionConnector
@@ -39,14 +39,14 @@
     peers: PeerQueries
     decisions: DecisionLog
 
-    def tell(
+    def record_decision(
         self,
         kind: DecisionKind,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         target: TargetId,
         **reasons: object,
     ) -> None:
-        """Take down a decision about a group's primary."""
-        said = {name: str(reason) for name, reason in reasons.items()}
-        said['token'] = str(reign.token)
-        self.decisions.record(Decision(kind, reign.group, target, said))
+        """Record a decision about a group's primary."""
+        details = {name: str(reason) for name, reason in reasons.items()}
+        details['token'] = str(ownership.token)
+        self.decisions.record(Decision(kind, ownership.group, target, details))
--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -1,4 +1,4 @@
-"""Find out which target leads a group that was just taken over."""
+"""Find the primary of a group that this proxy has just claimed."""
 
 from asyncio import sleep
 
@@ -16,129 +16,131 @@
 from sedgeshunt.routing.freshness_history import FreshnessHistory
 
 RETRY_PAUSE = Seconds(0.05)
-# With no primary in sight for so long, another target is promoted.
-PATIENCE = Seconds(0.3)
+# Without a primary for this long, another target is promoted.
+SEARCH_TIMEOUT = Seconds(0.3)
 
 
-class Leader(Struct, frozen=True):
-    """Hold a target that leads, and what it said of its log."""
+class FoundPrimary(Struct, frozen=True):
+    """Hold a primary and the log status that it reported."""
 
     known: KnownTarget
     status: LogStatus
 
 
 class PrimaryFinder:
-    """Ask a group's targets which of them leads."""
+    """Query a group's targets for the current primary."""
 
     def __init__(
         self,
-        reign: GroupOwnership,
+        ownership: GroupOwnership,
         parts: PrimaryContext,
         freshness: FreshnessHistory,
     ) -> None:
-        """Ask on behalf of `reign`."""
-        self._reign = reign
+        """Search while `ownership` is held."""
+        self._ownership = ownership
         self._parts = parts
         self._freshness = freshness
 
-    async def find(self) -> Leader | None:
-        """Return the leader; None when there seems to be none any more."""
+    async def find(self) -> FoundPrimary | None:
+        """Return the primary, None if none is found in time."""
         since = read_clock()
-        while read_clock() - since < PATIENCE:
-            members = self.list_members()
+        while read_clock() - since < SEARCH_TIMEOUT:
+            members = self.find_members()
             found = None if members is None else await self._ask(members)
             if found is not None:
                 return found
             await sleep(RETRY_PAUSE)
-            if self._parts.records.find_intent(self._reign.group):
+            if self._parts.records.find_intent(self._ownership.group):
                 since = read_clock()
         return None
 
     def is_settled(self) -> bool:
-        """Tell whether no promotion of an earlier owner is under way."""
-        return self._parts.records.find_intent(self._reign.group) is None
+        """Return whether no promotion by an earlier owner is pending."""
+        return self._parts.records.find_intent(self._ownership.group) is None
 
-    def list_members(self) -> GroupMembers | None:
-        """Return the group's targets, None when none are listed."""
-        members = self._parts.configuration.find_members(self._reign.group)
+    def find_members(self) -> GroupMembers | None:
+        """Return the group's targets, None if none are listed."""
+        members = self._parts.configuration.find_members(self._ownership.group)
         return members if members is not None and members.targets else None
 
-    def read_seen(self) -> Point | None:
-        """Return the newest log end that is known to have been shown."""
+    def read_known_tip(self) -> Point | None:
+        """Return the newest log end that a primary is known to have had."""
         return self._freshness.newest
 
-    async def _ask(self, members: GroupMembers) -> Leader | None:
-        seen = self.read_seen()
-        recorded = await self._ask_recorded(members, seen)
+    async def _ask(self, members: GroupMembers) -> FoundPrimary | None:
+        known_tip = self.read_known_tip()
+        recorded = await self._ask_recorded(members, known_tip)
         if recorded is not None:
             return recorded
         statuses = await read_statuses(self._parts.connector, members.targets)
-        if self._may_miss_leader(members, statuses):
+        if self._may_miss_primary(members, statuses):
             return None
         replacement = self._parts.replacement
-        if await replacement.finish_pending(self._reign, statuses):
+        if await replacement.resume_pending(self._ownership, statuses):
             return None
-        least = self._parts.records.find_term(self._reign.group)
-        return self.choose_leader(members, statuses, least, seen)
+        min_term = self._parts.records.find_term(self._ownership.group)
+        return self.choose_primary(members, statuses, min_term, known_tip)
 
-    def choose_leader(
+    def choose_primary(
         self,
         members: GroupMembers,
         statuses: dict[TargetId, LogStatus],
-        least: Term,
-        seen: Point | None,
-    ) -> Leader | None:
-        """Return the one that leads of those that answered, None for none.
+        min_term: Term,
+        known_tip: Point | None,
+    ) -> FoundPrimary | None:
+        """Return the primary among the targets that answered, None if none.
 
-        `least` is the newest term in which a target is known to have led,
-        `seen` the end of the log that was known when they were asked.
+        `min_term` is the newest term known to have had a primary, `known_tip`
+        the log end that was known when the targets were queried.
         """
-        if self._may_miss_leader(members, statuses):
+        if self._may_miss_primary(members, statuses):
             return None
         trusted = {
             name: status
             for name, status in statuses.items()
-            if not self.is_reborn(members.find(name))
+            if not self.has_restarted(members.find(name))
         }
-        leader = find_primary(trusted, least, seen)
+        leader = find_primary(trusted, min_term, known_tip)
         known = None if leader is None else members.find(leader)
         if leader is None or known is None:
             return None
-        return Leader(known, statuses[leader])
+        return FoundPrimary(known, statuses[leader])
 
-    def _may_miss_leader(
+    def _may_miss_primary(
         self,
         members: GroupMembers,
         statuses: dict[TargetId, LogStatus],
     ) -> bool:
-        # A store that came back from a copy may have lost the note of who led
-        # since; the one noted says that it leads until it learns better.
+        # A store restored from a backup may lack the latest primary, and the
+        # recorded one reports itself as primary until it learns of the newer
+        # one. All targets must answer in that case.
         records = self._parts.records
-        return records.is_primary_uncertain(self._reign.group) and any(
+        return records.is_primary_uncertain(self._ownership.group) and any(
             known.target.name not in statuses for known in members.targets
         )
 
-    def is_reborn(self, known: KnownTarget | None) -> bool:
-        """Tell whether a target led in an earlier life of it.
+    def has_restarted(self, known: KnownTarget | None) -> bool:
+        """Return whether the recorded primary has restarted since.
 
-        It holds nothing of what it acknowledged then, whatever it says.
+        It has lost all writes that it acknowledged before, whatever its
+        status reports.
         """
-        record = self._parts.records.find_record(self._reign.group)
-        note = None if record is None else record.leader
-        if note is None or known is None or known.target.name != note.target:
+        record = self._parts.records.find_record(self._ownership.group)
+        noted = None if record is None else record.leader
+        if noted is None or known is None or known.target.name != noted.target:
             return False
-        # An entry or a note without a life tells nothing.
-        return 0 not in (known.life, note.life) and known.life != note.life
+        # 0 stands for an entry or a record without an incarnation.
+        return 0 not in (known.life, noted.life) and known.life != noted.life
 
     async def _ask_recorded(
         self,
         members: GroupMembers,
-        seen: Point | None,
-    ) -> Leader | None:
-        """Return the leader that the owner before has noted, if it leads."""
-        # Another one can lead in a higher term only by an order of an owner,
-        # and that owner would have noted it, or at least the intent.
-        record = self._parts.records.find_record(self._reign.group)
+        known_tip: Point | None,
+    ) -> FoundPrimary | None:
+        """Return the recorded primary if it still reports itself as one."""
+        # Another target becomes primary in a higher term only by an owner's
+        # promotion order, and the owner records the intent before it.
+        record = self._parts.records.find_record(self._ownership.group)
         if record is None or record.intent or record.leader is None:
             return None
         known = members.find(record.leader.target)
@@ -147,10 +149,10 @@
         status = await read_status(self._parts.connector, known)
         if status is None:
             return None
-        # The term may be noted without the target that led in it.
-        return self.choose_leader(
+        # A term may be recorded without the primary of that term.
+        return self.choose_primary(
             members,
             {known.target.name: status},
             record.leader.term,
-            seen,
+            known_tip,
         )
--- a/src/sedgeshunt/execution/primary_probe.py
+++ b/src/sedgeshunt/execution/primary_probe.py
@@ -1,4 +1,4 @@
-"""Ask a primary whether it still leads while its owner is silent."""
+"""Probe a group's primary while the group's owner is unresponsive."""
 
 from asyncio import Event, sleep
 from collections.abc import Callable
@@ -14,17 +14,18 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.registry.directory import KnownTarget
 
-LOOK_EVERY = Seconds(0.2)
-# Longest time between a look and the claim that makes use of it.
-FRESH_FOR = Seconds(0.5)
+PROBE_INTERVAL = Seconds(0.2)
+# Longest time between a probe and the claim that uses its result.
+MAX_RESULT_AGE = Seconds(0.5)
 
 
 class PrimaryProbe:
-    """Know beforehand what the next owner would have to wait for."""
+    """Detect an unreachable primary before this proxy claims the group."""
 
-    # An owner is often lost together with the primary, as when their zone is
-    # cut off. That the primary does not answer takes a quarter of a second to
-    # find out, which passes while the claim has to wait anyway.
+    # An owner is often lost together with the primary, for example when their
+    # zone is cut off. Detecting that the primary does not answer takes a
+    # quarter of a second. Probing early hides this time in the wait for the
+    # owner's lease.
 
     def __init__(
         self,
@@ -33,43 +34,45 @@
         records: GroupRecords,
         connector: TargetSessionConnector,
     ) -> None:
-        """Know nothing."""
+        """Start without a result."""
         self._group = group
         self._configuration = configuration
         self._records = records
         self._connector = connector
         self._failed_at: Monotonic | None = None
-        self._awake = Event()
+        self._wake_event = Event()
 
     def wake(self) -> None:
-        """Look whether a look is wanted."""
-        self._awake.set()
+        """Check again whether a probe is wanted."""
+        self._wake_event.set()
 
     async def run(self, is_wanted: Callable[[], bool]) -> None:
-        """Look again and again while it is wanted, until cancelled."""
+        """Probe repeatedly while `is_wanted`, until cancelled."""
         while True:
-            self._awake.clear()
+            self._wake_event.clear()
             if is_wanted():
-                await self._look()
-                await sleep(LOOK_EVERY)
+                await self._probe()
+                await sleep(PROBE_INTERVAL)
             else:
-                await self._awake.wait()
+                await self._wake_event.wait()
 
     def is_unreachable(self) -> bool:
-        """Tell whether the primary has just failed to answer."""
+        """Return whether the latest probe is recent and failed."""
         failed_at = self._failed_at
-        return failed_at is not None and read_clock() - failed_at < FRESH_FOR
+        return (
+            failed_at is not None and read_clock() - failed_at < MAX_RESULT_AGE
+        )
 
-    def find_recorded(self) -> KnownTarget | None:
-        """Return the target that the latest owner noted as primary."""
+    def find_recorded_primary(self) -> KnownTarget | None:
+        """Return the target that the latest owner recorded as primary."""
         record = self._records.find_record(self._group)
         members = self._configuration.find_members(self._group)
         if record is None or record.leader is None or members is None:
             return None
         return members.find(record.leader.target)
 
-    async def _look(self) -> None:
-        known = self.find_recorded()
+    async def _probe(self) -> None:
+        known = self.find_recorded_primary()
         if known is None:
             return
         status = await read_status(self._connector, known)
--- a/src/sedgeshunt/execution/replica_reader.py
+++ b/src/sedgeshunt/execution/replica_reader.py
@@ -1,4 +1,4 @@
-"""Read from a group's replicas as old a state as the caller accepts."""
+"""Read from a group's replicas within the caller's staleness bound."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -31,34 +31,34 @@
 from sedgeshunt.routing.freshness_history import FreshnessHistory
 from sedgeshunt.statements.call import StatementCall
 
-# The caller counts a commit from its acknowledgement's arrival, this proxy
-# from its own reading; the difference is a way through the network.
+# The caller measures a commit's age from when its acknowledgement arrived,
+# this proxy from when it read the log end. They differ by a network delay.
 AGE_MARGIN = Seconds(0.1)
-# A replica that lacked what was asked for is passed over for so long.
+# How long a replica that lagged behind the required point is avoided.
 BEHIND_PAUSE = Seconds(0.1)
-# One that failed is passed over for so long, doubled at each further failure.
+# How long a failed replica is avoided; doubled at each further failure.
 FAILED_PAUSE = Seconds(0.3)
-LONGEST_PAUSE = Seconds(4)
+MAX_FAILED_PAUSE = Seconds(4)
 STALE_RETRY = Seconds(0.2)
-# Of a replica's places each of its readers may fill so many times its part
-# before others count as having more room: callers stand unevenly.
-PLACES_FACTOR = 2
+# Each reader may use this multiple of its equal share of a replica's slots
+# before reads are tried elsewhere, as callers are spread unevenly.
+SLOT_OVERCOMMIT = 2
 
 
 class Replica:
-    """Hold one replica with what reads have shown of it."""
+    """Hold one replica and the results of its recent reads."""
 
     def __init__(self, known: KnownTarget, executor: TargetExecutor) -> None:
-        """Trust it."""
+        """Start without failures."""
         self.known = known
         self.executor = executor
         self.avoided_until = Monotonic(0)
-        # Statements that it runs for this proxy without much of a queue.
-        self.places = 1
+        # Statements that this proxy may run there without a long queue.
+        self.max_running = 1
         self._failures = 0
 
-    def note(self, refusal: Refusal | None) -> None:
-        """Take in the end of one read."""
+    def record_outcome(self, refusal: Refusal | None) -> None:
+        """Record the outcome of one read."""
         if refusal is None:
             self._failures = 0
             return
@@ -68,17 +68,17 @@
         elif cause is not Cause.OVERLOAD:
             pause = FAILED_PAUSE * 2**self._failures
             self._failures = min(self._failures + 1, 4)
-            self._avoid(Seconds(min(LONGEST_PAUSE, pause)))
+            self._avoid(Seconds(min(MAX_FAILED_PAUSE, pause)))
 
-    def is_other_life(self, listed: KnownTarget | None) -> bool:
-        """Tell whether the target is gone, has started anew, or elsewhere."""
+    def is_superseded_by(self, listed: KnownTarget | None) -> bool:
+        """Return whether the target was removed, restarted or moved."""
         if listed is None or self.known.life != listed.life:
             return True
         known, target = self.known.target, listed.target
         return (known.host, known.port) != (target.host, target.port)
 
-    def has_shown(self, point: Point) -> bool:
-        """Tell whether its log is known to include a point."""
+    def has_reached(self, point: Point) -> bool:
+        """Return whether the replica's log is known to include a point."""
         tip = self.executor.tip
         return tip is not None and point <= tip
 
@@ -87,7 +87,7 @@
 
 
 class ReplicaReader:
-    """Choose replicas for reads and pass on what they answer."""
+    """Choose replicas for reads and run the reads there."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         freshness: FreshnessHistory,
         find_share: Callable[[Group, ZoneId], ReaderShare | None],
     ) -> None:
-        """Connect to nothing before the first read."""
+        """Start without connections; reads open them."""
         self.group = group
         self._zone = zone
         self._configuration = configuration
@@ -109,14 +109,14 @@
         self._hedger = Hedger(is_last_resort=False)
 
     async def apply_configuration(self) -> None:
-        """Take in a new list of targets."""
+        """Apply a new list of targets."""
         members = self._configuration.find_members(self.group)
         shares = {} if members is None else self._find_shares(members)
-        await self._drop_others(
+        await self._close_unlisted(
             {known.target.name: known for known, share in shares.values()},
         )
         for known, share in shares.values():
-            self._keep(known, share)
+            self._update_replica(known, share)
 
     def _find_shares(
         self,
@@ -132,17 +132,18 @@
             if share is not None
         }
 
-    async def _drop_others(
+    async def _close_unlisted(
         self,
         listed: Mapping[TargetId, KnownTarget],
     ) -> None:
         for name, replica in tuple(self._replicas.items()):
-            # Another life of it has nothing of what was learnt or prepared.
-            if replica.is_other_life(listed.get(name)):
+            # A new incarnation has no prepared statements, and the known state
+            # of its log is void.
+            if replica.is_superseded_by(listed.get(name)):
                 await self._replicas.pop(name).executor.close()
 
     def has_replicas(self) -> bool:
-        """Tell whether this instance has a share of the replicas."""
+        """Return whether this instance has a share of the replicas."""
         return bool(self._replicas)
 
     async def run_call(
@@ -151,8 +152,8 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Read from one replica after the other until one can serve."""
-        if call.is_prompt and not self._has_place(call):
+        """Try the replicas in turn until one can serve the read."""
+        if call.is_prompt and not self._has_free_slot(call):
             return Err(_refuse_queueing(self.group))
         required = self._find_required(call)
         if required is None:
@@ -164,16 +165,16 @@
         outcome = await self._hedger.run(call, attempts, deadline)
         return outcome or Err(self._refuse('no replica can serve'))
 
-    def _has_place(self, call: StatementCall) -> bool:
+    def _has_free_slot(self, call: StatementCall) -> bool:
         now = read_clock()
         return any(
-            replica.executor.has_place(call, replica.places)
+            replica.executor.has_free_slot(call, replica.max_running)
             for replica in self._replicas.values()
             if replica.avoided_until <= now
         )
 
     def list_executors(self) -> list[TargetExecutor]:
-        """Return what runs at each replica."""
+        """Return the executor of each replica."""
         return [replica.executor for replica in self._replicas.values()]
 
     async def close(self) -> None:
@@ -194,7 +195,7 @@
         required: Point,
     ) -> Result[Answer, Refusal]:
         outcome = await _run_at(replica, call, transactions, deadline, required)
-        replica.note(outcome.err())
+        replica.record_outcome(outcome.err())
         return outcome
 
     def _rank(self, required: Point) -> list[Replica]:
@@ -209,15 +210,15 @@
             key=lambda replica: (
                 not replica.executor.admission.has_room(),
                 replica.known.target.zone != self._zone,
-                not replica.has_shown(required),
+                not replica.has_reached(required),
                 replica.executor.admission.expected_wait(now),
             ),
         )
 
-    def _keep(self, known: KnownTarget, share: ReaderShare) -> None:
+    def _update_replica(self, known: KnownTarget, share: ReaderShare) -> None:
         name = known.target.name
-        connections = share.connections
-        at_once = self._find_concurrency(known, connections)
+        max_connections = share.connections
+        concurrency = self._find_concurrency(known, max_connections)
         replica = self._replicas.get(name)
         if replica is None:
             replica = Replica(
@@ -225,17 +226,18 @@
                 TargetExecutor(
                     known.target,
                     self._connector,
-                    connections,
-                    at_once,
+                    max_connections,
+                    concurrency,
                 ),
             )
             self._replicas[name] = replica
-        replica.executor.resize(connections, at_once)
-        part = PLACES_FACTOR * known.slots / max(1, share.readers)
-        replica.places = max(1, round(part))
+        replica.executor.resize(max_connections, concurrency)
+        part = SLOT_OVERCOMMIT * known.slots / max(1, share.readers)
+        replica.max_running = max(1, round(part))
 
     def _find_concurrency(self, known: KnownTarget, share: int) -> int:
-        # A connection for each customer is more than a target runs at once.
+        # With a connection per customer there are more connections than
+        # statements that a target runs at once.
         if self._configuration.has_customers():
             return min(share, known.slots)
         return share
@@ -249,7 +251,7 @@
 
 
 def list_replicas(members: GroupMembers) -> list[KnownTarget]:
-    """List the targets that may be read from without being the primary."""
+    """List the replicas that may be read from."""
     return [
         known
         for known in members.targets
--- a/src/sedgeshunt/statements/call.py
+++ b/src/sedgeshunt/statements/call.py
@@ -69,8 +69,8 @@
     identity: Identity = Identity()
 
     @property
-    def is_final(self) -> bool:
-        """Tell whether the call, once sent, can't be taken back.
+    def is_irreversible(self) -> bool:
+        """Return whether the call, once sent, can't be taken back.
 
         Anything else in a transaction is undone with it, and reads are
         harmless.
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -9,7 +9,7 @@
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.transactions import (
     TransactionTable,
-    TransactionKeeper,
+    TransactionHost,
 )
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.identifiers import Monotonic, Seconds, TransactionId
@@ -17,7 +17,7 @@
 from sedgeshunt.statements.call import StatementCall
 
 
-class CallSite(TransactionKeeper):
+class CallSite(TransactionHost):
     """Run calls in one place."""
 
     # The proxy that runs them, for reports.
@@ -34,7 +34,7 @@
 
     @abstractmethod
     def is_answering(self) -> bool:
-        """Tell whether the place has answered the latest heartbeats."""
+        """Return whether the place has answered the latest heartbeats."""
 
 
 class LocalSite(CallSite):
@@ -88,7 +88,7 @@
         return await self._link.call(sent, deadline)
 
     def is_answering(self) -> bool:
-        """Tell whether the peer has answered the latest heartbeats."""
+        """Return whether the peer has answered the latest heartbeats."""
         return self._link.is_answering()
 
     async def end_transaction(
