--- a/src/sedgeshunt/groups/__init__.py
+++ b/src/sedgeshunt/groups/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which target leads a group and which writes are durable."""
+"""Select the primary of a group and track which writes are durable."""
--- a/src/sedgeshunt/groups/adaptive_timeout.py
+++ b/src/sedgeshunt/groups/adaptive_timeout.py
@@ -1,4 +1,4 @@
-"""Bound the time of calls, with more of it for a slow target."""
+"""Bound the time of calls to a target, longer if the target is slow."""
 
 from asyncio import timeout
 from collections.abc import Awaitable
@@ -6,19 +6,19 @@
 from sedgeshunt.groups.status import TargetStatus
 from sedgeshunt.identifiers import Seconds
 
-CALL_TIMEOUT = Seconds(0.6)
-LONGEST_CALL_TIMEOUT = Seconds(4)
-# A call may take this many times the time after which it is suspected.
-PATIENCE_FACTOR = 1.2
-GROWTH = 2
+MIN_CALL_TIMEOUT = Seconds(0.6)
+MAX_CALL_TIMEOUT = Seconds(4)
+# Multiple of the suspicion time that a call may take.
+SUSPICION_FACTOR = 1.2
+GROWTH_FACTOR = 2
 
 
 class AdaptiveTimeout:
-    """Give a target more time after each call that it did not answer."""
+    """Double the timeout of a target's calls after each that times out."""
 
     def __init__(self) -> None:
-        """Start with the usual time."""
-        self._allowed = CALL_TIMEOUT
+        """Start with the minimum timeout."""
+        self._timeout = MIN_CALL_TIMEOUT
 
     async def run(
         self,
@@ -26,16 +26,19 @@
         wait: Seconds,
         suspicion_time: Seconds,
     ) -> TargetStatus:
-        """Return the answer to a call that may wait; raise TimeoutError."""
-        # A timed out call leaves its answer on the connection, where the
-        # next call would take it for its own; the caller closes it.
-        usual = PATIENCE_FACTOR * suspicion_time
+        """Return the answer of a call; raise TimeoutError.
+
+        `wait` is the time for which the target may hold the call open.
+        """
+        # The caller must close the connection after a timeout: the late
+        # answer would be read as the answer to the next call.
+        minimum = SUSPICION_FACTOR * suspicion_time
         try:
-            async with timeout(wait + max(usual, self._allowed)):
+            async with timeout(wait + max(minimum, self._timeout)):
                 status = await answer
         except TimeoutError:
-            more = Seconds(GROWTH * self._allowed)
-            self._allowed = min(LONGEST_CALL_TIMEOUT, more)
+            longer = Seconds(GROWTH_FACTOR * self._timeout)
+            self._timeout = min(MAX_CALL_TIMEOUT, longer)
             raise
-        self._allowed = CALL_TIMEOUT
+        self._timeout = MIN_CALL_TIMEOUT
         return status
--- a/src/sedgeshunt/groups/backoff.py
+++ b/src/sedgeshunt/groups/backoff.py
@@ -1,34 +1,34 @@
-"""Space out repeated attempts."""
+"""Compute exponential backoff delays."""
 
 from random import uniform
 
 from sedgeshunt.identifiers import Seconds
 
-SHORTEST = Seconds(0.05)
-LONGEST = Seconds(1)
-GROWTH = 2
-JITTER = 0.5
+MIN_DELAY = Seconds(0.05)
+MAX_DELAY = Seconds(1)
+GROWTH_FACTOR = 2
+MAX_JITTER = 0.5
 
 
 class Backoff:
-    """Return growing delays with jitter."""
+    """Produce exponentially growing delays with jitter."""
 
     def __init__(
         self,
-        shortest: Seconds = SHORTEST,
-        longest: Seconds = LONGEST,
+        min_delay: Seconds = MIN_DELAY,
+        max_delay: Seconds = MAX_DELAY,
     ) -> None:
-        """Grow from `shortest` to `longest`."""
-        self._shortest = shortest
-        self._longest = longest
-        self._next = shortest
+        """Set the bounds of the delay before jitter is added."""
+        self._min_delay = min_delay
+        self._max_delay = max_delay
+        self._next_delay = min_delay
 
     def reset(self) -> None:
-        """Start again with the shortest delay."""
-        self._next = self._shortest
+        """Start again with the minimum delay."""
+        self._next_delay = self._min_delay
 
     def compute_delay(self) -> Seconds:
-        """Return the next delay, never below the shortest."""
-        delay = self._next
-        self._next = Seconds(min(self._longest, GROWTH * delay))
-        return Seconds(delay * uniform(1, 1 + JITTER))
+        """Return the next delay; jitter only ever adds to it."""
+        delay = self._next_delay
+        self._next_delay = Seconds(min(self._max_delay, GROWTH_FACTOR * delay))
+        return Seconds(delay * uniform(1, 1 + MAX_JITTER))
--- a/src/sedgeshunt/groups/commands.py
+++ b/src/sedgeshunt/groups/commands.py
@@ -1,4 +1,4 @@
-"""Hand calls to the task that owns a control connection."""
+"""Queue calls for the task that owns a control connection."""
 
 from asyncio import Future, get_running_loop, timeout
 from collections import deque
@@ -9,58 +9,58 @@
 from sedgeshunt.identifiers import Seconds, TargetId
 from sedgeshunt.ports import ControlConnection
 
-# A command may have to wait behind a poll that is not answered.
+# A command may be queued behind a poll that isn't answered.
 COMMAND_TIMEOUT = Seconds(1)
 
 ControlCall = Callable[[ControlConnection], Awaitable[TargetStatus]]
 
 
 class Command:
-    """Hold one call and whoever waits for its answer."""
+    """One queued call and the future of its answer."""
 
     def __init__(self, call: ControlCall) -> None:
-        """Wait to be run."""
+        """Create a command that has not run yet."""
         self.call = call
         self._answer: Future[TargetStatus] = get_running_loop().create_future()
 
     async def wait(self) -> TargetStatus:
-        """Return the answer; raise what the call raised or TimeoutError."""
+        """Return the answer; raise the call's error or TimeoutError."""
         async with timeout(COMMAND_TIMEOUT):
             return await self._answer
 
     def is_abandoned(self) -> bool:
-        """Tell whether nobody waits any more."""
-        # A fence or promotion that is run long after its round has ended
-        # would only disturb the next one.
+        """Return whether no task waits for the answer any more."""
+        # A fence or promotion that runs after its round has ended would
+        # interfere with the next round.
         return self._answer.done()
 
     def finish(self, status: TargetStatus) -> None:
-        """Hand the answer to whoever waits."""
+        """Set the answer for the waiting task."""
         if not self._answer.done():
             self._answer.set_result(status)
 
     def fail(self, error: Exception) -> None:
-        """Hand an error to whoever waits."""
+        """Set an error for the waiting task."""
         if not self._answer.done():
             self._answer.set_exception(error)
 
 
 class CommandQueue:
-    """Keep the commands for one target until its task runs them."""
+    """Queue the commands for one target until its task runs them."""
 
     def __init__(self, target: TargetId) -> None:
-        """Refuse commands until opened."""
+        """Create a queue that rejects commands until it is opened."""
         self._target = target
         self._waiting: deque[Command] = deque()
         self._running: Command | None = None
         self._opened = False
 
     def open(self) -> None:
-        """Accept commands."""
+        """Start accepting commands."""
         self._opened = True
 
     def close(self) -> None:
-        """Refuse further commands and fail those that wait."""
+        """Reject further commands and fail the pending ones."""
         self._opened = False
         if self._running is not None:
             self._running.fail(TargetLost(self._target, 'connection closed'))
@@ -69,7 +69,10 @@
             self._waiting.popleft().fail(self._refuse())
 
     async def submit(self, call: ControlCall) -> TargetStatus:
-        """Have `call` run; raise TargetUnreachable or what it raises."""
+        """Run `call` and return its answer.
+
+        Raise TargetUnreachable, TimeoutError or the error of the call.
+        """
         if not self._opened:
             raise self._refuse()
         command = Command(call)
@@ -77,7 +80,7 @@
         return await command.wait()
 
     def take(self) -> Command | None:
-        """Return the next command that somebody still waits for."""
+        """Return the next command that isn't abandoned, None if none."""
         self._running = None
         while self._waiting:
             command = self._waiting.popleft()
--- a/src/sedgeshunt/groups/deadlines.py
+++ b/src/sedgeshunt/groups/deadlines.py
@@ -1,12 +1,12 @@
-"""Tell whether a moment has come."""
+"""Check deadlines against the event loop's clock."""
 
 from sedgeshunt.clocks import read_clock
 
-# Event loops run timers up to their resolution early. A wait that then finds
-# its deadline a hair ahead would go round without letting time pass.
-RESOLUTION = 0.00001
+# Event loops fire timers early by up to their resolution. Without this margin
+# a wait that wakes just before its deadline would spin.
+TIMER_RESOLUTION = 0.00001
 
 
 def has_passed(deadline: float) -> bool:
-    """Tell whether the loop's clock has reached `deadline`."""
-    return read_clock() + RESOLUTION >= deadline
+    """Return whether the loop's clock has reached `deadline`."""
+    return read_clock() + TIMER_RESOLUTION >= deadline
--- a/src/sedgeshunt/groups/elections.py
+++ b/src/sedgeshunt/groups/elections.py
@@ -1,4 +1,4 @@
-"""Win one term: fence a majority, promote its best log, lead the rest."""
+"""Fence a majority for a term and promote the member with the best log."""
 
 from asyncio import FIRST_COMPLETED, Task, create_task, wait
 from collections.abc import Collection, Iterable, Sequence, Set
@@ -16,28 +16,28 @@
 
 FENCE_TIMEOUT = Seconds(0.6)
 FOLLOW_TIMEOUT = Seconds(0.6)
-# With a majority fenced, the others get this long: one of them may hold
-# more of the log, or be the only one that is not leaving.
+# Wait for further members once a majority is fenced: one of them may have a
+# longer log, or be the only one that isn't leaving.
 STRAGGLER_TIME = Seconds(0.05)
 
 
 def is_fenced_for(status: TargetStatus, term: Term) -> bool:
-    """Tell whether the answer to a fence shows it in force."""
-    # A rival may have fenced the target again before it answered; its log
-    # end is then not the one that it had when this fence stopped it.
+    """Return whether the answer shows the fence for `term` in force."""
+    # Another proxy may have fenced the target again before it answered. Its
+    # log end then isn't the one from when this fence stopped it.
     return status.fencing_term == term and status.role is Role.FENCED
 
 
 async def fence_members(
-    links: Sequence[TargetMonitor],
+    monitors: Sequence[TargetMonitor],
     term: Term,
     majority: int,
 ) -> list[TargetStatus]:
-    """Fence all that answer in time and return what they answered."""
+    """Fence the members and return the statuses of those that succeeded."""
     fenced: list[TargetStatus] = []
-    async with AsyncExitStack() as owned:
-        tasks = {create_task(link.fence(term)) for link in links}
-        owned.callback(_cancel_all, tuple(tasks))
+    async with AsyncExitStack() as stack:
+        tasks = {create_task(monitor.fence(term)) for monitor in monitors}
+        stack.callback(_cancel_all, tuple(tasks))
         deadline = read_clock() + FENCE_TIMEOUT
         while tasks and not has_passed(deadline):
             done, tasks = await wait(
@@ -57,14 +57,14 @@
     avoided: Set[TargetId],
     leaving: Set[TargetId],
 ) -> Result[TargetStatus, str]:
-    """Return the fenced target that has all acknowledged writes."""
-    # Choosing before the fence, or out of fewer than a majority, would miss
-    # the target that a write was acknowledged on meanwhile: its caller would
-    # find the write gone.
+    """Return a fenced target whose log has all acknowledged writes."""
+    # A choice made before the fence, or among fewer than a majority, could
+    # miss the target that holds a write acknowledged in the meantime. That
+    # write would be lost.
     if len(fenced) < majority:
         return Err(f'fenced {len(fenced)} where {majority} are needed')
     preferred = [status for status in fenced if status.target not in avoided]
-    # Avoided ones may be left out only if the rest is a majority by itself.
+    # Avoided targets may be skipped only if the rest still is a majority.
     pool = preferred if len(preferred) >= majority else fenced
     return Ok(
         max(
@@ -72,8 +72,9 @@
             key=lambda status: (
                 status.log_end,
                 status.target not in leaving,
-                # Two proxies that each miss another target would hand the
-                # lead to and fro; drawn anew in each term, it comes to one
+                # With a fixed tie-break, two proxies that each can't reach
+                # a different target would replace each other's primary
+                # again and again. A weight per term ends this at a target
                 # that both can reach.
                 compute_weight(status.fencing_term, status.target),
             ),
@@ -82,34 +83,37 @@
 
 
 async def promote_target(
-    link: TargetMonitor,
+    monitor: TargetMonitor,
     term: Term,
 ) -> Result[TargetStatus, str]:
     """Promote the chosen target."""
     try:
-        status = await link.promote(term)
+        status = await monitor.promote(term)
     except (SedgeshuntError, OSError) as error:
-        # It may lead already. Nobody else is promoted in this term, so the
-        # worst is a primary that the next term's fence supersedes.
-        return Err(f'{link.target} was not promoted: {error!r}')
+        # The target may have been promoted. No other target is promoted in
+        # this term, and the fence of the next term supersedes it.
+        return Err(f'{monitor.target} was not promoted: {error!r}')
     if status.role is not Role.PRIMARY or status.fencing_term != term:
-        return Err(f'{link.target} was superseded at once')
+        return Err(f'{monitor.target} was superseded at once')
     return Ok(status)
 
 
 async def repoint_replicas(
-    links: Iterable[TargetMonitor],
+    monitors: Iterable[TargetMonitor],
     term: Term,
     primary: TargetId,
 ) -> None:
-    """Tell all others to follow; who misses it is repaired later."""
-    async with AsyncExitStack() as owned:
+    """Make all other targets follow `primary`.
+
+    Targets that don't answer in time are repaired by their monitors later.
+    """
+    async with AsyncExitStack() as stack:
         tasks = [
-            create_task(link.follow(term, primary))
-            for link in links
-            if link.target != primary
+            create_task(monitor.follow(term, primary))
+            for monitor in monitors
+            if monitor.target != primary
         ]
-        owned.callback(_cancel_all, tasks)
+        stack.callback(_cancel_all, tasks)
         if tasks:
             done, _late = await wait(tasks, timeout=FOLLOW_TIMEOUT)
             for task in done:
--- a/src/sedgeshunt/groups/invariants.py
+++ b/src/sedgeshunt/groups/invariants.py
@@ -1,4 +1,4 @@
-"""Check what targets say against what they said before."""
+"""Check the answers of targets against their earlier answers."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Invariant(Enum):
-    """Name what no target and no pair of targets may ever show."""
+    """Invariants that the answers of a group's targets must satisfy."""
 
     ONE_PRIMARY = 'one primary in a term'
     TERM_RISES = 'the fencing term of a target never falls'
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """Hold what broke which invariant."""
+    """An invariant that a target's answer broke."""
 
     invariant: Invariant
     target: TargetId
@@ -25,17 +25,17 @@
 
 
 class AnswerOrder(Enum):
-    """Tell how an answer relates to the one before it."""
+    """How an answer relates to the target's previous answer."""
 
     NEXT = 'next'
-    # Asked before the earlier answer came, and read before it: no news.
+    # Requested before the earlier answer arrived; outdated, so ignored.
     LATE = 'late'
-    # The earlier answer came first, and yet the new one says less.
+    # Requested after the earlier answer, but shows less than it.
     BROKEN = 'broken'
 
 
 def classify_answer(earlier: Observation, later: Observation) -> AnswerOrder:
-    """Tell whether `later` may follow `earlier`."""
+    """Return how `later` relates to `earlier`."""
     if find_regression(earlier.status, later.status) is None:
         return AnswerOrder.NEXT
     if later.asked_at < earlier.answered_at:
@@ -47,10 +47,10 @@
     earlier: TargetStatus,
     later: TargetStatus,
 ) -> Violation | None:
-    """Return what a target has lost between two of its answers."""
-    # A database restored from a backup forgets its fence and part of its
-    # log: the majority that a write was acknowledged on, or that fenced an
-    # old primary, would be one short without anybody noticing.
+    """Return the invariant broken between two answers of a target."""
+    # A database restored from a backup loses its fence and part of its log.
+    # If its answers still counted, the majority that acknowledged a write or
+    # fenced an old primary would silently be one member short.
     if later.fencing_term < earlier.fencing_term:
         return Violation(
             Invariant.TERM_RISES,
@@ -71,8 +71,8 @@
 
 
 def _must_keep_log(earlier: TargetStatus, later: TargetStatus) -> bool:
-    # A follower drops what its new primary lacks, which are records of
-    # earlier terms, and perhaps only once it reaches that primary.
+    # A replica may drop records of earlier terms that its new primary lacks,
+    # possibly not before it connects to that primary.
     if earlier.log_end.term == earlier.fencing_term:
         return True
     return later.role is not Role.REPLICA
--- a/src/sedgeshunt/groups/members.py
+++ b/src/sedgeshunt/groups/members.py
@@ -1,4 +1,4 @@
-"""Keep the latest answer of each member of a group."""
+"""Track the latest answer of each member of a group."""
 
 from collections.abc import Sequence
 
@@ -16,7 +16,7 @@
 
 
 class MemberStates:
-    """Hold answer and liveness of each member, refusing what lost data."""
+    """Latest answer and liveness of each member, except if it lost data."""
 
     def __init__(self, pauses: PauseWatch) -> None:
         """Start without members."""
@@ -24,14 +24,14 @@
         self._pauses = pauses
         self._liveness: dict[TargetId, TargetLiveness] = {}
         self._latest: dict[TargetId, Observation] = {}
-        self._barred: set[TargetId] = set()
+        self._excluded: set[TargetId] = set()
 
     def __contains__(self, target: TargetId) -> bool:
-        """Tell whether `target` is a member."""
+        """Return whether `target` is a member."""
         return target in self._liveness
 
     def set_members(self, targets: Sequence[TargetId]) -> None:
-        """Keep what is known of `targets` and forget the others."""
+        """Set the members, keeping the state of those that remain."""
         self.majority = count_majority(len(targets))
         self._liveness = {
             target: self._liveness.get(target) or TargetLiveness()
@@ -42,29 +42,31 @@
             for target, observation in self._latest.items()
             if target in self._liveness
         }
-        self._barred.intersection_update(targets)
+        self._excluded.intersection_update(targets)
 
     def record(self, observation: Observation) -> Violation | None:
-        """Take in an answer unless it is late; return what it breaks."""
+        """Record an answer unless it is outdated; return a broken invariant."""
         target = observation.status.target
-        self._liveness[target].hear(observation, self._pauses.resumed_at)
+        self._liveness[target].record_answer(
+            observation, self._pauses.resumed_at
+        )
         earlier = self._latest.get(target)
         if earlier is None:
             self._latest[target] = observation
             return None
-        succession = classify_answer(earlier, observation)
-        if succession is AnswerOrder.NEXT:
+        order = classify_answer(earlier, observation)
+        if order is AnswerOrder.NEXT:
             self._latest[target] = observation
-            self._barred.discard(target)
-        if succession is not AnswerOrder.BROKEN or target in self._barred:
+            self._excluded.discard(target)
+        if order is not AnswerOrder.BROKEN or target in self._excluded:
             return None
-        # Barred until it shows again all that it has shown before: copied
-        # anew from the primary, the log is as good as it was.
-        self._barred.add(target)
+        # Excluded until its answers reach its last recorded one again. Once
+        # copied from the primary, the log is complete again.
+        self._excluded.add(target)
         return find_regression(earlier.status, observation.status)
 
     def record_disconnect(self, target: TargetId, refused: bool) -> None:
-        """Take in that the link to `target` broke or was refused."""
+        """Record that the connection to `target` was lost or refused."""
         liveness = self._liveness.get(target)
         if liveness is not None:
             liveness.record_disconnect(
@@ -74,36 +76,36 @@
     def get_status(self, target: TargetId) -> TargetStatus | None:
         """Return the latest answer of `target`, unless it lost data."""
         observation = self._latest.get(target)
-        if observation is None or target in self._barred:
+        if observation is None or target in self._excluded:
             return None
         return observation.status
 
     def get_observation(self, target: TargetId) -> Observation | None:
-        """Return the latest answer with its readings, as get_status does."""
-        return None if target in self._barred else self._latest.get(target)
+        """Return the latest answer with its times, as get_status does."""
+        return None if target in self._excluded else self._latest.get(target)
 
     def find_liveness(self, target: TargetId) -> TargetLiveness:
-        """Return the evidence that `target` runs, empty for strangers."""
+        """Return the liveness of `target`, an empty one for a non-member."""
         return self._liveness.get(target) or TargetLiveness()
 
     def list_members(self) -> list[TargetId]:
-        """List the names of all members."""
+        """Return the names of all members."""
         return list(self._liveness)
 
     def list_observations(self) -> list[Observation]:
-        """List the latest answers that count."""
-        if not self._barred:
+        """Return the latest answers, without those of excluded members."""
+        if not self._excluded:
             return list(self._latest.values())
         return [
             observation
             for target, observation in self._latest.items()
-            if target not in self._barred
+            if target not in self._excluded
         ]
 
     def list_responsive(self, now: Monotonic) -> list[TargetId]:
-        """List the members that are linked and not suspected."""
+        """Return the members that are connected and not suspected."""
         return [
             target
             for target, liveness in self._liveness.items()
-            if liveness.is_responsive(now) and target not in self._barred
+            if liveness.is_responsive(now) and target not in self._excluded
         ]
--- a/src/sedgeshunt/groups/monitor_context.py
+++ b/src/sedgeshunt/groups/monitor_context.py
@@ -1,4 +1,4 @@
-"""Share what the links of one group need."""
+"""Share state among the target monitors of one group."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MonitorContext:
-    """Hold what the links of one group share."""
+    """Collaborators that the target monitors of one group share."""
 
     connector: TargetConnector
     view: GroupView
@@ -21,7 +21,7 @@
     decisions: DecisionLog
 
     def record(self, observation: Observation) -> None:
-        """Hand an answer to the view and report what it breaks."""
+        """Record an answer in the view and log invariants that it breaks."""
         self.view.record(observation)
         for violation in self.view.take_violations():
             self.decide(
--- a/src/sedgeshunt/groups/orders.py
+++ b/src/sedgeshunt/groups/orders.py
@@ -1,4 +1,4 @@
-"""Define how a promotion is ordered where targets don't take it directly."""
+"""Define promotions that are ordered from the platform."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
@@ -15,19 +15,19 @@
 
 
 class PromotionAnswer(Enum):
-    """Tell what became of an order."""
+    """Outcome of a promotion order."""
 
     ACCEPTED = 'accepted'
-    # The named target does not run.
+    # The target to promote is down.
     TARGET_DOWN = 'target-down'
-    # Refused or not sent; it has no effect.
+    # Rejected or not sent; the order has no effect.
     NOT_TAKEN = 'not-taken'
-    # Sent, and it may still take effect.
+    # Sent without an answer; the order may still take effect.
     UNANSWERED = 'unanswered'
 
 
 class PromotionOrder(Struct, frozen=True):
-    """Name the target that is to lead, and by whose right."""
+    """The target to promote, and the lease holder that orders it."""
 
     group: GroupId
     target: TargetId
@@ -36,7 +36,7 @@
 
 
 class PromotionService(ABC):
-    """Have the platform make a target its group's primary."""
+    """Platform service that promotes a target to its group's primary."""
 
     @abstractmethod
     async def order(
@@ -44,4 +44,4 @@
         order: PromotionOrder,
         limit: Seconds,
     ) -> PromotionAnswer:
-        """Send one order and wait for its answer within `limit`."""
+        """Send an order and return its outcome within `limit` seconds."""
--- a/src/sedgeshunt/groups/peer_query.py
+++ b/src/sedgeshunt/groups/peer_query.py
@@ -1,4 +1,4 @@
-"""Ask the other proxies about a group's primary."""
+"""Define the query to the other proxies about a group's primary."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -8,8 +8,8 @@
 
 
 class PeerQuery(ABC):
-    """Put one question to all reachable proxies at once."""
+    """Query to all reachable proxies at once."""
 
     @abstractmethod
     async def query_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
-        """Return the answers that came within a short time; never raise."""
+        """Return the reports that arrive within a timeout; never raise."""
--- a/src/sedgeshunt/groups/points.py
+++ b/src/sedgeshunt/groups/points.py
@@ -1,4 +1,4 @@
-"""Order the places in a group's log, also across changes of primary."""
+"""Order log positions of a group across changes of its primary."""
 
 from typing import NamedTuple
 
@@ -6,17 +6,17 @@
 
 
 class Point(NamedTuple):
-    """Name one place in a group's log by term first, then by position."""
+    """A log position of a group, ordered by term and then by position."""
 
-    # Comparing the position alone would call a superseded primary's longer
-    # log the newer one; a reader would see writes that were never kept. A
-    # promoted primary opens its term with a record of its own, so the tuple
-    # order is the order of histories for every acknowledged record.
+    # Compared by position alone, the longer log of a superseded primary would
+    # be the newer one, and a read would return writes that were lost. Each
+    # primary starts its term with a record of its own, so that the tuple
+    # order matches the order of the log for all acknowledged records.
     term: Term
     position: Position
 
     def is_covered_by(self, other: 'Point') -> bool:
-        """Tell whether a log that ends at `other` includes this point."""
+        """Return whether a log that ends at `other` includes this point."""
         return self <= other
 
 
--- a/src/sedgeshunt/groups/polling.py
+++ b/src/sedgeshunt/groups/polling.py
@@ -1,4 +1,4 @@
-"""Choose how often the members of a group are asked."""
+"""Define how often the members of a group are polled."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,23 +8,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PollTiming:
-    """Hold how long a poll may wait and how far polls are apart."""
+    """Long-poll time of a poll and minimum time between two polls."""
 
     wait: Seconds
-    # A busy primary changes with each write; without this spacing its
-    # proxies would spend their time on asking.
+    # The status of a busy primary changes with each write, which ends long
+    # polls at once. The spacing limits the polling rate.
     spacing: Seconds
 
 
 class PollUrgency(Enum):
-    """Name what the callers need of the next answers."""
+    """How soon the next answers are needed, with the poll timing."""
 
-    # Nobody waits: what changes is told by the long poll at once.
+    # No task waits; the long poll returns as soon as the status changes.
     NONE = PollTiming(Seconds(0.05), Seconds(0.01))
-    # The primary may be gone: a fence must not queue behind a long poll.
+    # The primary may have failed; a fence must not wait for a long poll.
     PRIMARY = PollTiming(Seconds(0.01), Seconds(0.01))
-    # Reads needed fresh answers of late, the next will come soon.
+    # Reads needed fresh answers recently and are likely to again.
     RECENT = PollTiming(Seconds(0.01), Seconds(0.01))
     WRITES = PollTiming(Seconds(0.02), Seconds(0.004))
-    # A read waits for an answer asked for after its session opened.
+    # A read waits for an answer requested after its session was opened.
     FRESH = PollTiming(Seconds(0), Seconds(0.002))
--- a/src/sedgeshunt/groups/promoter.py
+++ b/src/sedgeshunt/groups/promoter.py
@@ -27,47 +27,47 @@
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import Monotonic, Seconds, TargetId, Term
 
-TICK = Seconds(0.025)
-# Each further proxy holds back for this long, so that one acts at a time.
+CHECK_INTERVAL = Seconds(0.025)
+# Delay per rank of the proxy, so that one proxy acts at a time.
 RANK_DELAY = Seconds(0.15)
-ASK_AGAIN_AFTER = Seconds(0.05)
-FIRST_RETRY = Seconds(0.05)
-# A replica gets this long to copy the last records of a leaving primary.
-CATCH_UP_TIME = Seconds(0.3)
+DEFERRAL_INTERVAL = Seconds(0.05)
+MIN_RETRY_DELAY = Seconds(0.05)
+# Time for a replica to copy the last records of a leaving primary.
+CATCH_UP_TIMEOUT = Seconds(0.3)
 
 
 class Promoter:
-    """Run the promotions of one group from one proxy."""
+    """Run the promotions that one proxy makes in one group."""
 
     def __init__(
         self,
         view: GroupView,
-        links: Mapping[TargetId, TargetMonitor],
+        monitors: Mapping[TargetId, TargetMonitor],
         deferral: PromotionDeferral,
         decisions: DecisionLog,
     ) -> None:
-        """Act on `links` by what `view` and `deferral` say."""
+        """Act through `monitors` on the state of `view`."""
         self.rank = 0
-        self.judge = FailureDetector(view)
+        self.detector = FailureDetector(view)
         self._view = view
-        self._links = links
+        self._monitors = monitors
         self._deferral = deferral
         self._decisions = decisions
-        self._backoff = Backoff(FIRST_RETRY)
+        self._backoff = Backoff(MIN_RETRY_DELAY)
         self._suspicion: Suspicion | None = None
         self._suspected_at = Monotonic(0)
 
     async def run(self) -> None:
-        """Watch and act until cancelled."""
+        """Check the primary and replace it if needed, until cancelled."""
         while True:
-            await sleep(TICK)
+            await sleep(CHECK_INTERVAL)
             suspicion = self._find_due()
             if suspicion is None:
                 continue
             if await self._deferral.should_defer(suspicion):
-                await sleep(ASK_AGAIN_AFTER)
+                await sleep(DEFERRAL_INTERVAL)
                 continue
-            # The peers took their time to answer; a rival may have won.
+            # Another proxy may have promoted a target during the query.
             suspicion = self._find_due()
             if suspicion is None:
                 continue
@@ -77,7 +77,7 @@
                 await sleep(self._backoff.compute_delay())
 
     def _find_due(self) -> Suspicion | None:
-        suspicion = self.judge.judge()
+        suspicion = self.detector.detect()
         if suspicion is None:
             self._suspicion = None
             self._deferral.reset()
@@ -98,7 +98,7 @@
             fenced,
             self._view.states.majority,
             self._list_avoided(suspicion),
-            self.judge.leaving,
+            self.detector.leaving,
         )
         if isinstance(choice, Err):
             self._decide(DecisionKind.FENCED, suspicion, term, choice.err())
@@ -111,11 +111,13 @@
         term: Term,
     ) -> list[TargetStatus]:
         names = {status.target for status in fenced}
-        links = [
-            link for name, link in self._links.items() if name not in names
+        monitors = [
+            monitor
+            for name, monitor in self._monitors.items()
+            if name not in names
         ]
         majority = self._view.states.majority - len(fenced)
-        return await fence_members(links, term, majority)
+        return await fence_members(monitors, term, majority)
 
     async def _promote(
         self,
@@ -123,57 +125,59 @@
         term: Term,
         chosen: TargetStatus,
     ) -> bool:
-        link = self._links.get(chosen.target)
-        if link is None:
+        monitor = self._monitors.get(chosen.target)
+        if monitor is None:
             return False
-        promoted = await promote_target(link, term)
+        promoted = await promote_target(monitor, term)
         if isinstance(promoted, Err):
             self._decide(DecisionKind.FENCED, suspicion, term, promoted.err())
             return False
-        leads = f'{chosen.target} leads'
-        self._decide(DecisionKind.PROMOTED, suspicion, term, leads)
-        await repoint_replicas(tuple(self._links.values()), term, chosen.target)
-        return chosen.target not in self.judge.leaving
+        outcome = f'{chosen.target} leads'
+        self._decide(DecisionKind.PROMOTED, suspicion, term, outcome)
+        await repoint_replicas(
+            tuple(self._monitors.values()), term, chosen.target
+        )
+        return chosen.target not in self.detector.leaving
 
     async def _fence_leaving_primary(
         self,
         suspicion: Suspicion,
         term: Term,
     ) -> list[TargetStatus]:
-        # Fenced first and alone, the leaving primary takes no more writes
-        # while the others still copy its last records. Fenced together, the
-        # writes that one of them had not copied yet would end as unknown.
+        # The leaving primary is fenced first, so that it takes no more writes
+        # while the other targets copy its last records. If all were fenced at
+        # once, writes that weren't copied yet would end as unknown.
         if (
             suspicion.cause is not SuspicionCause.LEAVING
-            or suspicion.leader is None
+            or suspicion.primary is None
         ):
             return []
         try:
-            status = await self._links[suspicion.leader].fence(term)
+            status = await self._monitors[suspicion.primary].fence(term)
         except (KeyError, SedgeshuntError, OSError):
             return []
-        deadline = Monotonic(read_clock() + CATCH_UP_TIME)
+        deadline = Monotonic(read_clock() + CATCH_UP_TIMEOUT)
         while not self._is_copied(status):
             if not await self._view.wait_change(deadline):
                 break
-        # Only fences of this round count: one that a rival set in the same
-        # term, counted by both, would let both promote in it.
+        # Only fences of this round count. If another proxy's fence for the
+        # same term counted too, both proxies could promote in that term.
         return [status] if is_fenced_for(status, term) else []
 
     def _is_copied(self, status: TargetStatus) -> bool:
         return any(
             self._view.covers(target, status.log_end)
-            for target in self._links
-            if target not in self.judge.leaving
+            for target in self._monitors
+            if target not in self.detector.leaving
         )
 
     def _list_avoided(self, suspicion: Suspicion) -> Set[TargetId]:
-        if suspicion.cause is SuspicionCause.STALLED and suspicion.leader:
-            return {suspicion.leader}
-        # A planned move that was not caught up with promotes the leaving
-        # primary again, and the next try comes after a while.
-        is_gentle = suspicion.cause is SuspicionCause.LEAVING
-        return frozenset() if is_gentle else self.judge.leaving
+        if suspicion.cause is SuspicionCause.STALLED and suspicion.primary:
+            return {suspicion.primary}
+        # If no replica caught up during a planned handover, the leaving
+        # primary is promoted again and the handover is retried later.
+        is_planned = suspicion.cause is SuspicionCause.LEAVING
+        return frozenset() if is_planned else self.detector.leaving
 
     def _decide(
         self,
@@ -188,5 +192,5 @@
             'outcome': outcome,
         }
         self._decisions.record(
-            Decision(kind, self._view.group, suspicion.leader, reasons),
+            Decision(kind, self._view.group, suspicion.primary, reasons),
         )
--- a/src/sedgeshunt/groups/promotion_deferral.py
+++ b/src/sedgeshunt/groups/promotion_deferral.py
@@ -1,4 +1,4 @@
-"""Hear from peers whether a suspected primary still leads."""
+"""Defer a promotion while peers still reach the suspected primary."""
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
@@ -9,50 +9,50 @@
 from sedgeshunt.identifiers import Monotonic, Seconds
 from sedgeshunt.ports import PrimaryReport
 
-# A primary that some proxies hear and others don't is left this long.
-PATIENCE = Seconds(5)
+# A primary that only some of the proxies reach is replaced after this time.
+MAX_DEFERRAL = Seconds(5)
 
 
 class PromotionDeferral:
-    """Weigh what peers say against one proxy's suspicion."""
+    """Check a suspicion of this proxy against the reports of its peers."""
 
     def __init__(
         self,
         view: GroupView,
-        panel: PeerQuery,
+        peers: PeerQuery,
         decisions: DecisionLog,
     ) -> None:
-        """Ask `panel` about the group of `view`."""
+        """Query `peers` about the group of `view`."""
         self._view = view
-        self._panel = panel
+        self._peers = peers
         self._decisions = decisions
         self._since: Monotonic | None = None
 
     def reset(self) -> None:
-        """Forget the disagreement, as the suspicion is another or none."""
+        """Restart the deferral time after the suspicion changed or ended."""
         self._since = None
 
     async def should_defer(self, suspicion: Suspicion) -> bool:
-        """Tell whether a reachable peer has cause to keep the primary."""
-        # One proxy's broken link would cost everyone a failover; but callers
-        # who reach the group only through this side wait on, so that no
-        # disagreement may last for ever.
+        """Return whether a peer's report is reason to keep the primary."""
+        # One proxy's broken connection must not cause a failover for all. But
+        # callers of this proxy can't write meanwhile, so the deferral is
+        # bounded.
         if suspicion.cause not in REFUTABLE_CAUSES:
             return False
         asked_at = read_clock()
-        reports = await self._panel.query_primary(self._view.group)
-        objecting = [
+        reports = await self._peers.query_primary(self._view.group)
+        contradicting = [
             report
             for report in reports
-            if _is_objection(report, suspicion, asked_at)
+            if _shows_live_primary(report, suspicion, asked_at)
         ]
-        if not objecting:
+        if not contradicting:
             self._since = None
             return False
         if self._since is None:
             self._since = asked_at
-            self._decide(suspicion, objecting[0])
-        return asked_at - self._since <= PATIENCE
+            self._decide(suspicion, contradicting[0])
+        return asked_at - self._since <= MAX_DEFERRAL
 
     def _decide(self, suspicion: Suspicion, report: PrimaryReport) -> None:
         reasons = {
@@ -70,7 +70,7 @@
         )
 
 
-def _is_objection(
+def _shows_live_primary(
     report: PrimaryReport,
     suspicion: Suspicion,
     asked_at: Monotonic,
@@ -79,6 +79,6 @@
         return False
     if report.term < suspicion.term:
         return False
-    # What the peer heard before the primary refused us says nothing.
+    # An answer from before the suspicion began doesn't contradict it.
     suspected_for = asked_at - suspicion.since
     return report.heard_ago <= min(SUSPICION_TIME, suspected_for)
--- a/src/sedgeshunt/groups/quorum.py
+++ b/src/sedgeshunt/groups/quorum.py
@@ -1,4 +1,4 @@
-"""Derive from single answers what a majority of a group has shown."""
+"""Derive what a majority of a group holds from its members' answers."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -9,14 +9,14 @@
 
 
 class Watermark(NamedTuple):
-    """Say that all writes acknowledged before `moment` are at or below."""
+    """A point at or above all writes acknowledged before `moment`."""
 
     moment: Monotonic
     point: Point
 
 
 def count_majority(members: int) -> int:
-    """Return the smallest number of members that any two majorities share."""
+    """Return the smallest size at which any two sets of members overlap."""
     return members // 2 + 1
 
 
@@ -24,19 +24,19 @@
     observations: Sequence[Observation],
     majority: int,
 ) -> list[Watermark]:
-    """Return the best watermark for each moment that a majority allows."""
-    # A write acknowledged before a moment was held by some majority before
-    # it, and no member drops such a write. Any majority that was asked after
-    # the moment shares a member with it, so its highest log end is at or
-    # above the write. `asked_at` bounds the moment: a long poll may have
-    # been read at any time up to its answer.
+    """Return the lowest watermark for each moment with a majority after it."""
+    # A write acknowledged before a moment is held by a majority, and no member
+    # drops such a write. Any majority asked after the moment shares a member
+    # with it, so the highest log end among its answers is at or above the
+    # write. The moment is `asked_at`, as the status of a long poll may have
+    # been read at any time between request and answer.
     by_age = sorted(
         observations,
         key=lambda observation: observation.asked_at,
         reverse=True,
     )
-    # Of the members asked after a moment, the majority with the lowest log
-    # ends gives the lowest sound watermark, often without the primary's tip.
+    # The majority with the lowest log ends gives the lowest valid watermark,
+    # which often leaves out the primary's unreplicated records.
     return [
         Watermark(
             by_age[size - 1].asked_at,
@@ -51,7 +51,7 @@
     majority: int,
     term: Term,
 ) -> Point | None:
-    """Return the highest point that a majority holds while in `term`."""
+    """Return the highest point held by a majority with fencing term `term`."""
     ends = _sort_ends(
         [
             observation
@@ -69,10 +69,10 @@
     majority: int,
     point: Point,
 ) -> Monotonic | None:
-    """Return since when a majority's answers show `point` as kept."""
-    # Term and log end count only together, out of one answer: a record that
-    # reaches a member after it was fenced for a later term is dropped when
-    # that term's primary lacks it, although the log end covered the point.
+    """Return the time after which a majority was asked that holds `point`."""
+    # Term and log end must come from the same answer. A record that reaches a
+    # member after its fence for a later term is dropped if the primary of that
+    # term lacks it, although the log end covered the point.
     dates = sorted(
         observation.asked_at
         for observation in observations
--- a/src/sedgeshunt/groups/ranks.py
+++ b/src/sedgeshunt/groups/ranks.py
@@ -1,4 +1,4 @@
-"""Rank the proxies for each group without any coordination."""
+"""Rank proxies for each group by rendezvous hashing."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -14,13 +14,14 @@
     proxies: Iterable[ProxyId],
 ) -> int:
     """Return how many of `proxies` come before `proxy` for `group`."""
-    # Rendezvous hashing: each proxy computes the same order by itself, the
-    # orders of two groups differ, and one that goes moves no other.
+    # Rendezvous hashing: all proxies compute the same order without
+    # coordination, orders differ between groups, and the removal of a proxy
+    # leaves the order of the others as it is.
     own = compute_weight(group, proxy)
     return sum(compute_weight(group, other) > own for other in set(proxies))
 
 
-def compute_weight(place: object, candidate: str) -> bytes:
-    """Return a weight that differs between places and is alike everywhere."""
-    name = f'{place}\n{candidate}'.encode()
+def compute_weight(key: object, candidate: str) -> bytes:
+    """Return a weight that depends only on the key and the candidate."""
+    name = f'{key}\n{candidate}'.encode()
     return blake2b(name, digest_size=DIGEST_SIZE).digest()
--- a/src/sedgeshunt/groups/reports.py
+++ b/src/sedgeshunt/groups/reports.py
@@ -1,4 +1,4 @@
-"""Describe what is known of a group's targets, for people to read."""
+"""Describe the state of a group's targets for operators."""
 
 from dataclasses import dataclass
 
@@ -9,15 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """Hold what is known of one target."""
+    """The known state of one target."""
 
     target: TargetId
-    # None before the first answer, and while the target lacks what it had.
+    # None before the first answer, and while the target is missing records
+    # that it had shown.
     status: TargetStatus | None
-    linked: bool
+    is_connected: bool
     heard_ago: Seconds | None
     suspicion_time: Seconds
-    # Provable age of the target's data; None when nothing proves it.
+    # Proven upper bound of the age of the target's data, None if unproven.
     age: Seconds | None
 
 
@@ -28,11 +29,11 @@
     age: Seconds | None,
     now: Monotonic,
 ) -> TargetReport:
-    """Put together what is known of one target."""
+    """Return the report on one target."""
     return TargetReport(
         target=target,
         status=status,
-        linked=liveness.linked,
+        is_connected=liveness.is_connected,
         heard_ago=liveness.measure_silence(now),
         suspicion_time=liveness.get_suspicion_time(now),
         age=age,
--- a/src/sedgeshunt/groups/status.py
+++ b/src/sedgeshunt/groups/status.py
@@ -1,4 +1,4 @@
-"""Describe what one target says of itself in a single answer."""
+"""Define the status that a target reports in a single answer."""
 
 from enum import Enum
 
@@ -9,7 +9,7 @@
 
 
 class Role(Enum):
-    """Name the part that a target plays in its group."""
+    """Role of a target in its group."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
@@ -17,10 +17,10 @@
 
 
 class TargetStatus(Struct, frozen=True):
-    """Hold one target's fencing term and log end, read together."""
+    """Fencing term and log end of one target, read atomically."""
 
-    # Both come from one answer: read apart, a record that arrives after the
-    # fence would count for the old term and be lost with the old primary.
+    # If both were read separately, a record that arrives after the fence would
+    # count as evidence for the old term, although the new primary lacks it.
     target: TargetId
     fencing_term: Term
     log_end: Point
@@ -28,18 +28,19 @@
     following: TargetId | None = None
 
     def retains(self, point: Point) -> bool:
-        """Tell whether the log includes `point` and will not drop it."""
-        # A replica whose source leads again may copy records of a term above
-        # its own. A late order to follow the primary of a term in between is
-        # then still accepted and drops them, and a session would miss its
-        # write there. Only the fence at their term turns the order away.
+        """Return whether the log includes `point` and won't drop it."""
+        # A replica whose source was promoted again may copy records of a term
+        # above its own fencing term. It still accepts a late order to follow
+        # the primary of a term in between and then drops these records, so
+        # that a session would miss its own write. Only a fence at the term
+        # of the records rejects such an order.
         if self.log_end.term > self.fencing_term:
             return False
         return point.is_covered_by(self.log_end)
 
 
 class Observation(Struct, frozen=True):
-    """Hold a status with the reading taken before it was asked for."""
+    """A status with the times of its request and its answer."""
 
     status: TargetStatus
     asked_at: Monotonic
--- a/src/sedgeshunt/groups/successors.py
+++ b/src/sedgeshunt/groups/successors.py
@@ -1,4 +1,4 @@
-"""Choose the target that takes over from a primary."""
+"""Find the primary of a group and choose its successor."""
 
 from collections.abc import Mapping
 
@@ -10,47 +10,49 @@
 
 def find_primary(
     statuses: Mapping[TargetId, LogStatus],
-    least: Term,
-    seen: Point | None = None,
+    min_term: Term,
+    last_seen: Point | None = None,
 ) -> TargetId | None:
-    """Return the target that leads in the newest term, if one does.
+    """Return the primary of the newest term, None if there is none.
 
-    `least` is the newest term in which a target is known to have led, `seen`
-    the newest end of its log that any primary had shown when they were asked.
+    `min_term` is the newest term known to have had a primary. `last_seen` is
+    the newest log end that any primary had shown before the statuses were read.
     """
-    # A primary that was cut off or silent still says that it leads for up to a
-    # second after it is back. If the one that replaced it is lost meanwhile,
-    # the old one is all that says so; what was written since is not in its log.
-    newest = max((status.term for status in statuses.values()), default=least)
+    # After a partition, a superseded primary reports itself as primary for up
+    # to a second. If its successor is lost meanwhile, it is the only one that
+    # does, but its log lacks the writes made since.
+    newest = max(
+        (status.term for status in statuses.values()), default=min_term
+    )
     for target, status in statuses.items():
         if status.role is not LogRole.PRIMARY:
             continue
-        # One of a newer term may lack what an earlier one showed last.
-        is_of_term = seen is not None and status.term <= seen.term
-        if is_of_term and is_truncated(status.received, seen):
+        # A primary of a newer term may lack the last records of the earlier.
+        is_of_term = last_seen is not None and status.term <= last_seen.term
+        if is_of_term and is_truncated(status.received, last_seen):
             continue
-        if status.term >= max(newest, least):
+        if status.term >= max(newest, min_term):
             return target
     return None
 
 
-def is_truncated(point: Point | None, seen: Point | None) -> bool:
-    """Tell whether a primary's log ends before what it has shown.
+def is_truncated(point: Point | None, last_seen: Point | None) -> bool:
+    """Return whether a primary's log ends before its earlier end.
 
-    Safeguard: a target that has started again without its log may still say
-    that it leads, in its old term. Trusted, it would serve reads that miss
-    acknowledged writes, and replicas would follow it. A primary's log never
-    gets shorter within a term, so a shorter one is proof enough, if `seen` was
-    shown before the question: a live primary's log grows while others answer.
+    A target that was restarted without its log may still report itself as
+    primary of its old term. Reads from it would miss acknowledged writes, and
+    replicas would copy its log. A primary's log never gets shorter within a
+    term, so a shorter one proves the loss. `last_seen` must have been read
+    before `point` was requested, as the log of a live primary grows meanwhile.
     """
-    return point is not None and seen is not None and point < seen
+    return point is not None and last_seen is not None and point < last_seen
 
 
 def choose_successor(
     group: GroupId,
     statuses: Mapping[TargetId, LogStatus],
 ) -> TargetId | None:
-    """Return the replica whose log is furthest."""
+    """Return the replica with the highest log end."""
     if not statuses:
         return None
     return max(
@@ -63,24 +65,24 @@
 
 
 def covers(status: LogStatus, acknowledged: Point | None) -> bool:
-    """Tell whether a log has received all that is known as acknowledged."""
+    """Return whether a log has all writes known as acknowledged."""
     return acknowledged is None or acknowledged <= status.received
 
 
 def is_safe_choice(
-    unheard: int,
-    synchronous: int,
+    unanswered: int,
+    synchronous_replicas: int,
     *,
     covers_all: bool,
 ) -> bool:
-    """Tell whether the furthest log heard must hold all acknowledged writes.
+    """Return whether the highest known log must have all acknowledged writes.
 
-    `unheard` counts the replicas that did not tell their logs; `covers_all`
-    says that the log holds all that this owner acknowledged itself.
+    `unanswered` is the number of replicas that didn't report their log end.
+    `covers_all` is whether the log has all writes that this owner acknowledged.
     """
-    # Each acknowledged write is on `synchronous` of the replicas. If fewer
-    # than this are missing, one that was heard has it, and the furthest log
-    # has all of them.
-    if not synchronous:
+    # Each acknowledged write is on `synchronous_replicas` replicas. If fewer
+    # than these are missing, one of the others has the write, and the highest
+    # log has all of them.
+    if not synchronous_replicas:
         return True
-    return covers_all or unheard < synchronous
+    return covers_all or unanswered < synchronous_replicas
--- a/src/sedgeshunt/groups/supervisor.py
+++ b/src/sedgeshunt/groups/supervisor.py
@@ -1,4 +1,4 @@
-"""Keep a group with a primary from one proxy."""
+"""Monitor the targets of a group and replace its primary if needed."""
 
 from asyncio import Task, TaskGroup
 from collections.abc import Sequence
@@ -20,7 +20,7 @@
 
 
 class GroupSupervisor:
-    """Own one task for each target of a group, and the promoter."""
+    """Run a monitor task for each target of a group, and the promoter."""
 
     def __init__(
         self,
@@ -31,31 +31,31 @@
         proxy: ProxyId,
         decisions: DecisionLog,
     ) -> None:
-        """Keep `group` as `proxy`, filling `view`."""
+        """Supervise `group` on behalf of `proxy`, recording into `view`."""
         self._group = group
         self._view = view
         self._proxy = proxy
         self._repair = ReplicaRepair(view)
         self._context = MonitorContext(connector, view, self._repair, decisions)
-        self._links: dict[TargetId, TargetMonitor] = {}
+        self._monitors: dict[TargetId, TargetMonitor] = {}
         self._promoter = Promoter(
             view,
-            self._links,
+            self._monitors,
             PromotionDeferral(view, peers, decisions),
             decisions,
         )
         self._tasks: dict[TargetId, Task[None]] = {}
-        self._owned = AsyncExitStack()
-        self._running: TaskGroup | None = None
+        self._stack = AsyncExitStack()
+        self._task_group: TaskGroup | None = None
 
     async def __aenter__(self) -> 'GroupSupervisor':
-        """Start watching; an unexpected error ends the owner's task."""
-        running = await self._owned.enter_async_context(TaskGroup())
-        self._running = running
-        promoting = running.create_task(self._promoter.run())
-        self._owned.callback(self._stop_links)
-        self._owned.callback(promoting.cancel)
-        self._start_links()
+        """Start the tasks; an unexpected error cancels the entering task."""
+        task_group = await self._stack.enter_async_context(TaskGroup())
+        self._task_group = task_group
+        promoting = task_group.create_task(self._promoter.run())
+        self._stack.callback(self._stop_monitors)
+        self._stack.callback(promoting.cancel)
+        self._start_monitors()
         return self
 
     async def __aexit__(
@@ -65,55 +65,57 @@
         trace: TracebackType | None,
     ) -> bool | None:
         """Stop all tasks and close their connections."""
-        return await self._owned.__aexit__(kind, error, trace)
+        return await self._stack.__aexit__(kind, error, trace)
 
     def set_targets(
         self,
         targets: Sequence[Target],
         proxies: Sequence[ProxyId],
     ) -> None:
-        """Apply the configuration of the group; callable at any time."""
+        """Apply the configuration of the group, before or after the start."""
         rank = rank_proxy(self._group, self._proxy, proxies)
         self._repair.rank = rank
         self._promoter.rank = rank
-        self._promoter.judge.leaving = frozenset(
+        self._promoter.detector.leaving = frozenset(
             target.name for target in targets if target.is_leaving()
         )
         self._view.set_members([target.name for target in targets])
         addresses = {
             target.name: Address(target.host, target.port) for target in targets
         }
-        for gone in self._find_gone(addresses):
-            self._stop_link(gone)
+        for removed in self._find_removed(addresses):
+            self._stop_monitor(removed)
         for name, address in addresses.items():
-            self._links.setdefault(
+            self._monitors.setdefault(
                 name,
                 TargetMonitor(name, address, self._context),
             )
-        self._start_links()
+        self._start_monitors()
 
-    def _find_gone(self, addresses: dict[TargetId, Address]) -> list[TargetId]:
+    def _find_removed(
+        self, addresses: dict[TargetId, Address]
+    ) -> list[TargetId]:
         return [
             name
-            for name, link in self._links.items()
-            if addresses.get(name) != link.address
+            for name, monitor in self._monitors.items()
+            if addresses.get(name) != monitor.address
         ]
 
-    def _start_links(self) -> None:
-        if self._running is None:
+    def _start_monitors(self) -> None:
+        if self._task_group is None:
             return
-        for name, link in self._links.items():
+        for name, monitor in self._monitors.items():
             if name not in self._tasks:
-                self._tasks[name] = self._running.create_task(link.run())
+                self._tasks[name] = self._task_group.create_task(monitor.run())
 
-    def _stop_link(self, name: TargetId) -> None:
-        del self._links[name]
+    def _stop_monitor(self, name: TargetId) -> None:
+        del self._monitors[name]
         self._view.record_disconnect(name)
         task = self._tasks.pop(name, None)
         if task is not None:
             task.cancel()
 
-    def _stop_links(self) -> None:
-        self._running = None
+    def _stop_monitors(self) -> None:
+        self._task_group = None
         for task in self._tasks.values():
             task.cancel()
--- a/src/sedgeshunt/groups/target_monitor.py
+++ b/src/sedgeshunt/groups/target_monitor.py
@@ -1,4 +1,4 @@
-"""Watch one target over one control connection."""
+"""Poll one target over one control connection and run commands on it."""
 
 from asyncio import sleep, timeout
 from collections.abc import Awaitable
@@ -21,15 +21,15 @@
 from sedgeshunt.ports import Address, ControlConnection
 
 CONNECT_TIMEOUT = Seconds(0.5)
-# What takes longer is a timeout somewhere on the way, not a refusal.
-REFUSED_WITHIN = Seconds(0.25)
-# A link that broke before this is not taken up again at once.
-LASTING_LINK = Seconds(1)
+# A failure that takes longer is a network timeout, not a refusal.
+MAX_REFUSAL_TIME = Seconds(0.25)
+# A connection that lasted less is reopened after a backoff delay.
+MIN_STABLE_TIME = Seconds(1)
 NO_WAIT = Seconds(0)
 
 
 class TargetMonitor:
-    """Own one control connection and all that is asked over it."""
+    """Own the control connection to one target."""
 
     def __init__(
         self,
@@ -37,69 +37,74 @@
         address: Address,
         context: MonitorContext,
     ) -> None:
-        """Watch `target` at `address` once run."""
+        """Prepare to monitor `target` at `address`; `run` connects."""
         self.target = target
         self.address = address
         self._context = context
         self._view = context.view
         self._commands = CommandQueue(target)
         self._backoff = Backoff()
-        self._known: TargetStatus | None = None
+        self._last_status: TargetStatus | None = None
         self._timer = AdaptiveTimeout()
-        self._linked_at = Monotonic(0)
+        self._connected_at = Monotonic(0)
 
     async def fence(self, term: Term) -> TargetStatus:
-        """Fence the target for `term`; raise FenceRefused or its kin."""
+        """Fence the target for `term`.
+
+        Raise FenceRefused, TargetUnreachable, TargetLost or TimeoutError.
+        """
         return await self._commands.submit(
             lambda connection: connection.fence(term),
         )
 
     async def promote(self, term: Term) -> TargetStatus:
-        """Let the target lead in `term`; raise FenceRefused or its kin."""
+        """Promote the target to primary of `term`; raise as `fence` does."""
         return await self._commands.submit(
             lambda connection: connection.promote(term),
         )
 
     async def follow(self, term: Term, primary: TargetId) -> TargetStatus:
-        """Let the target copy from `primary`; raise as above."""
+        """Make the target replicate from `primary`; raise as `fence` does."""
         return await self._commands.submit(
             lambda connection: connection.follow(term, primary),
         )
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Monitor the target until cancelled."""
         while True:
             try:
                 await self._watch()
             except (SedgeshuntError, OSError):
                 self._view.record_disconnect(self.target)
-            await self._rest()
+            await self._pause()
 
     async def _watch(self) -> None:
-        async with AsyncExitStack() as owned:
-            connection = await self._connect(owned)
-            self._linked_at = read_clock()
+        async with AsyncExitStack() as stack:
+            connection = await self._connect(stack)
+            self._connected_at = read_clock()
             self._commands.open()
-            owned.callback(self._commands.close)
+            stack.callback(self._commands.close)
             while True:
                 asked_at = read_clock()
-                pace = self._view.choose_poll_urgency().value
+                timing = self._view.choose_poll_urgency().value
                 await self._run_commands(connection)
-                await self._poll(connection, pace.wait)
+                await self._poll(connection, timing.wait)
                 await self._run_commands(connection)
                 spent = read_clock() - asked_at
-                await sleep(max(0, pace.spacing - spent))
-
-    async def _rest(self) -> None:
-        lasted = read_clock() - self._linked_at
-        is_first = self._known is not None and lasted >= LASTING_LINK
-        self._known = None
-        # The first attempt after a long link comes at once: a target that
-        # was killed refuses it, and the failover need not wait.
-        if not is_first:
+                await sleep(max(0, timing.spacing - spent))
+
+    async def _pause(self) -> None:
+        connected_for = read_clock() - self._connected_at
+        was_stable = (
+            self._last_status is not None and connected_for >= MIN_STABLE_TIME
+        )
+        self._last_status = None
+        # Reconnect at once after a stable connection: a killed target then
+        # refuses the connection and the failover starts without delay.
+        if not was_stable:
             await sleep(self._backoff.compute_delay())
 
-    async def _connect(self, owned: AsyncExitStack) -> ControlConnection:
+    async def _connect(self, stack: AsyncExitStack) -> ControlConnection:
         started = read_clock()
         try:
             async with timeout(CONNECT_TIMEOUT):
@@ -109,16 +114,16 @@
                     self._view.group,
                 )
         except TargetUnreachable:
-            is_prompt = read_clock() - started < REFUSED_WITHIN
+            is_prompt = read_clock() - started < MAX_REFUSAL_TIME
             self._view.record_disconnect(self.target, refused=is_prompt)
             raise
-        owned.push_async_callback(connection.close)
+        stack.push_async_callback(connection.close)
         return connection
 
     async def _poll(self, connection: ControlConnection, wait: Seconds) -> None:
         asked_at = read_clock()
-        status = await self._call(
-            connection.read_status(self._known, wait),
+        status = await self._call_with_timeout(
+            connection.read_status(self._last_status, wait),
             wait,
         )
         self._record(status, asked_at)
@@ -133,7 +138,7 @@
         order: FollowOrder,
     ) -> None:
         with suppress(FenceRefused):
-            await self._change(
+            await self._run_call(
                 connection,
                 lambda control: control.follow(order.term, order.primary),
             )
@@ -149,25 +154,25 @@
             if command is None:
                 return
             try:
-                command.finish(await self._change(connection, command.call))
+                command.finish(await self._run_call(connection, command.call))
             except FenceRefused as refusal:
                 command.fail(refusal)
 
-    async def _change(
+    async def _run_call(
         self,
         connection: ControlConnection,
         call: ControlCall,
     ) -> TargetStatus:
         asked_at = read_clock()
         try:
-            status = await self._call(call(connection))
+            status = await self._call_with_timeout(call(connection))
         except FenceRefused as refusal:
             self._view.record_term(Term(refusal.current_term))
             raise
         self._record(status, asked_at)
         return status
 
-    async def _call(
+    async def _call_with_timeout(
         self,
         answer: Awaitable[TargetStatus],
         wait: Seconds = NO_WAIT,
@@ -180,9 +185,9 @@
         )
 
     def _record(self, status: TargetStatus, asked_at: Monotonic) -> None:
-        # Two names for one database would make it a majority by itself.
+        # One database under two names would be a majority by itself.
         if status.target != self.target:
             reason = f'{status.target} answers at its address'
             raise TargetUnreachable(self.target, reason)
-        self._known = status
+        self._last_status = status
         self._context.record(Observation(status, asked_at, read_clock()))
--- a/src/sedgeshunt/groups/view.py
+++ b/src/sedgeshunt/groups/view.py
@@ -1,4 +1,4 @@
-"""Tell what one proxy knows of one group."""
+"""Hold what one proxy knows of one group."""
 
 from collections.abc import Sequence
 
@@ -20,15 +20,15 @@
 )
 from sedgeshunt.ports import PrimaryReport
 
-# A primary silent for this long may soon be suspected.
-UNEASY_AFTER = Seconds(0.2)
+# A primary that is silent for this long is polled more often.
+PRIMARY_OVERDUE_AFTER = Seconds(0.2)
 
 
 class GroupView:
-    """Hold the answers of a group's targets and what follows from them."""
+    """The answers of a group's targets and the state derived from them."""
 
     def __init__(self, group: GroupId, pauses: PauseWatch) -> None:
-        """Know nothing of `group` yet."""
+        """Create a view of `group` without members."""
         self.group = group
         self.pauses = pauses
         self.states = MemberStates(pauses)
@@ -38,15 +38,15 @@
 
     @property
     def newest_term(self) -> Term:
-        """Return the highest fencing term seen."""
+        """Return the highest known fencing term."""
         return self.terms.newest
 
     def set_members(self, targets: Sequence[TargetId]) -> None:
-        """Declare which targets make up the group."""
+        """Set the targets of the group."""
         self.states.set_members(targets)
 
     def record(self, observation: Observation) -> None:
-        """Take in what a member answered."""
+        """Record a member's answer; ignore one of a non-member."""
         status = observation.status
         if status.target not in self.states:
             return
@@ -67,21 +67,21 @@
         point: Point,
         asked_at: Monotonic,
     ) -> None:
-        """Take in that `target` answered a write with `point`."""
-        # A target takes writes only in the term that it leads in, so the
+        """Record that `target` answered a write with `point`."""
+        # A target only takes writes as primary of its fencing term, so the
         # answer shows term and log end together, as a status does.
         status = TargetStatus(target, point.term, point, Role.PRIMARY)
         self.record(Observation(status, asked_at, read_clock()))
 
     def record_term(self, term: Term) -> None:
-        """Take in a term that a target named in a refusal."""
+        """Record the current term that a target named in a refusal."""
         if self.terms.record(term, read_clock()):
             self.quorum.update(has_new_term=True)
 
     def record_disconnect(
         self, target: TargetId, refused: bool = False
     ) -> None:
-        """Take in that a control link broke, or was refused."""
+        """Record that a control connection was lost or refused."""
         self.states.record_disconnect(target, refused)
         self.quorum.changed.notify()
 
@@ -90,100 +90,100 @@
         return self.states.get_status(target)
 
     def find_newest_primary(self) -> TargetId | None:
-        """Return who leads in the newest term, be it reachable or not."""
-        leader = self.terms.get_primary()
-        if leader is None:
+        """Return the primary of the newest term, responsive or not."""
+        primary = self.terms.get_primary()
+        if primary is None:
             return None
-        status = self.states.get_status(leader)
+        status = self.states.get_status(primary)
         if status is None or status.role is not Role.PRIMARY:
             return None
-        return leader if status.fencing_term == self.newest_term else None
+        return primary if status.fencing_term == self.newest_term else None
 
     def get_primary(self) -> TargetId | None:
-        """Return who leads in the newest term if it is heard."""
-        leader = self.find_newest_primary()
-        if leader is None:
+        """Return the primary of the newest term if it is responsive."""
+        primary = self.find_newest_primary()
+        if primary is None:
             return None
-        liveness = self.states.find_liveness(leader)
-        return leader if liveness.is_responsive(read_clock()) else None
+        liveness = self.states.find_liveness(primary)
+        return primary if liveness.is_responsive(read_clock()) else None
 
     def reaches_majority(self) -> bool:
-        """Tell whether a write could be acknowledged or a term be won."""
-        heard = self.states.list_responsive(read_clock())
-        return len(heard) >= self.states.majority
+        """Return whether enough members respond for a quorum."""
+        responsive = self.states.list_responsive(read_clock())
+        return len(responsive) >= self.states.majority
 
     def is_responsive(self, target: TargetId, now: Monotonic) -> bool:
-        """Tell whether `target` is linked and not suspected."""
+        """Return whether `target` is connected and not suspected."""
         return self.states.find_liveness(target).is_responsive(now)
 
     def get_observation(self, target: TargetId) -> Observation | None:
-        """Return the latest answer of `target` with its readings."""
+        """Return the latest answer of `target` with its times."""
         return self.states.get_observation(target)
 
     def covers(self, target: TargetId, point: Point) -> bool:
-        """Tell whether the target's latest answer includes `point`."""
+        """Return whether the log of `target` includes `point`."""
         status = self.states.get_status(target)
         return status is not None and status.retains(point)
 
     def measure_age(self, target: TargetId, now: Monotonic) -> Seconds | None:
-        """Return how old the target's data is at most, None if unproven."""
-        # Once covered, always covered: a log only ever drops records that
-        # were never acknowledged, also when its target is cut off later.
+        """Return the maximum age of the target's data, None if unproven."""
+        # The latest status counts even if the target became unreachable
+        # since: a log never drops acknowledged records.
         status = self.states.get_status(target)
         if status is None:
             return None
-        mark = self.quorum.find_covered(status.log_end)
-        if mark is None or not status.retains(mark.point):
+        watermark = self.quorum.find_covered(status.log_end)
+        if watermark is None or not status.retains(watermark.point):
             return None
-        return Seconds(now - mark.moment)
+        return Seconds(now - watermark.moment)
 
     async def wait_barrier(
         self,
         since: Monotonic,
         deadline: Monotonic,
     ) -> Point | None:
-        """Return the first watermark from `since` on, None if too late."""
+        """Return the first watermark from `since` on, None after `deadline`."""
         return await self.quorum.wait_barrier(since, deadline)
 
     async def wait_change(self, deadline: Monotonic) -> bool:
-        """Tell whether anything was learnt by the deadline."""
+        """Return whether the view changed by the deadline."""
         return await self.quorum.changed.wait(deadline)
 
     async def wait_durable(self, point: Point, deadline: Monotonic) -> bool:
-        """Tell whether a majority showed `point` while its term was newest."""
+        """Return whether a majority confirmed `point` in the newest term."""
         return await self.quorum.wait_durable(point, deadline)
 
     def request_frequent_polls(self) -> None:
-        """Have the members asked often for a while."""
+        """Poll the members frequently for a while."""
         self.quorum.request_frequent_polls()
 
     def choose_poll_urgency(self) -> PollUrgency:
-        """Tell how urgently the next answers are needed."""
+        """Return how soon the next answers are needed."""
         now = read_clock()
-        # Without a majority no read can be proven fresh, however often the
-        # few that still answer are asked.
+        # Without a majority no read can be proven fresh, so frequent polls
+        # would be useless.
         if self.quorum.reads_waiting and self.reaches_majority():
             return PollUrgency.FRESH
-        if self._is_uneasy(now):
+        if self._is_primary_overdue(now):
             return PollUrgency.PRIMARY
         if self.quorum.writes_waiting:
             return PollUrgency.WRITES
-        if now < self.quorum.fresh_until:
+        if now < self.quorum.frequent_polls_until:
             return PollUrgency.RECENT
         return PollUrgency.NONE
 
     def report_primary(self) -> PrimaryReport:
-        """Tell peers when the primary was last heard."""
-        leader = self.find_newest_primary()
-        if leader is None:
+        """Return the primary and how long ago it was asked, for peers."""
+        primary = self.find_newest_primary()
+        if primary is None:
             return PrimaryReport(self.group, self.newest_term, None, None)
-        silence = self.states.find_liveness(leader).measure_silence(
+        silence = self.states.find_liveness(primary).measure_silence(
             read_clock(),
         )
-        return PrimaryReport(self.group, self.newest_term, leader, silence)
+        return PrimaryReport(self.group, self.newest_term, primary, silence)
 
     def take_violations(self) -> list[Violation]:
-        """Return the broken invariants seen since the last call."""
+        """Return and clear the invariants broken since the last call."""
         taken = self._violations.copy()
         self._violations.clear()
         return taken
@@ -202,9 +202,9 @@
             for target in self.states.list_members()
         ]
 
-    def _is_uneasy(self, now: Monotonic) -> bool:
-        leader = self.find_newest_primary()
-        if leader is None:
+    def _is_primary_overdue(self, now: Monotonic) -> bool:
+        primary = self.find_newest_primary()
+        if primary is None:
             return True
-        silence = self.states.find_liveness(leader).measure_silence(now)
-        return silence is None or silence > UNEASY_AFTER
+        silence = self.states.find_liveness(primary).measure_silence(now)
+        return silence is None or silence > PRIMARY_OVERDUE_AFTER
--- a/src/sedgeshunt/groups/watermarks.py
+++ b/src/sedgeshunt/groups/watermarks.py
@@ -1,4 +1,4 @@
-"""Keep the watermarks of the last minutes to date what a replica holds."""
+"""Keep recent watermarks to determine the age of a replica's data."""
 
 from bisect import bisect_left, bisect_right
 from itertools import pairwise
@@ -7,26 +7,26 @@
 from sedgeshunt.groups.quorum import Watermark
 from sedgeshunt.identifiers import Monotonic, Seconds
 
-# Older data than this is not served by age.
-HORIZON = Seconds(600)
-# Above this many marks the series is thinned out.
-LIMIT = 512
-# Marks are kept this far apart, as a share of their age; dropping one makes
-# a provable age at most that much older.
-SPACING = 0.05
+# Older data can't be proven to be within an accepted age.
+MAX_AGE = Seconds(600)
+# Number of watermarks above which the series is thinned out.
+MAX_MARKS = 512
+# Minimum distance of two watermarks as a share of their age. Dropping one
+# increases a proven age by at most this share.
+SPACING_SHARE = 0.05
 
 
 class WatermarkSeries:
-    """Keep watermarks in which a later moment has a higher point."""
+    """A series of watermarks with increasing moments and points."""
 
     def __init__(self) -> None:
         """Start without any watermark."""
         self._marks: list[Watermark] = []
 
     def add(self, mark: Watermark) -> None:
-        """Take in a watermark and drop those that it makes useless."""
+        """Add a watermark and drop those that it supersedes."""
         first = bisect_left(self._marks, mark.moment, key=_get_moment)
-        # A later moment with a point as low says more than this mark.
+        # Redundant if a later moment has the same or a lower point.
         if first < len(self._marks):
             if self._marks[first].point <= mark.point:
                 return
@@ -34,7 +34,7 @@
         start = bisect_left(self._marks, mark.point, hi=last, key=_get_point)
         del self._marks[start:last]
         self._marks.insert(start, mark)
-        if len(self._marks) > LIMIT:
+        if len(self._marks) > MAX_MARKS:
             self._thin()
 
     def find_covered(self, end: Point) -> Watermark | None:
@@ -60,10 +60,10 @@
         kept = [newest]
         for older, mark in reversed(tuple(pairwise(self._marks[:-1]))):
             age = newest.moment - mark.moment
-            # A mark goes only if its neighbours stay close to each other.
-            if kept[-1].moment - older.moment > SPACING * age:
+            # Dropped only if its neighbours are close enough to each other.
+            if kept[-1].moment - older.moment > SPACING_SHARE * age:
                 kept.append(mark)
-        if newest.moment - self._marks[0].moment <= HORIZON:
+        if newest.moment - self._marks[0].moment <= MAX_AGE:
             kept.append(self._marks[0])
         self._marks = list(reversed(kept))
 
--- a/tests/features/steps/watermarks_steps.py
+++ b/tests/features/steps/watermarks_steps.py
@@ -10,7 +10,7 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.quorum import Watermark
 from sedgeshunt.groups.status import Observation, Role, TargetStatus
-from sedgeshunt.groups.watermarks import HORIZON, LIMIT, WatermarkSeries
+from sedgeshunt.groups.watermarks import MAX_AGE, MAX_MARKS, WatermarkSeries
 from sedgeshunt.identifiers import Monotonic, Position, TargetId, Term
 
 MILLISECONDS = 1000
@@ -125,7 +125,7 @@
     for index in range(count):
         point = Point(Term(1), Position(index))
         series.add(Watermark(Monotonic(index / 100), point))
-    assert len(series._marks) <= LIMIT
+    assert len(series._marks) <= MAX_MARKS
     for back in (1, 10, 100, 1000, 10000):
         position = count - 1 - back
         mark = series.find_covered(Point(Term(1), Position(position)))
@@ -133,7 +133,7 @@
         age = (count - 1) / 100 - mark.moment
         assert back / 100 <= age <= 1.1 * back / 100, (back, age)
     assert series.find_covered(Point(Term(1), Position(-1))) is None
-    assert count / 100 < HORIZON
+    assert count / 100 < MAX_AGE
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
