--- a/tests/features/acknowledgement.feature
+++ b/tests/features/acknowledgement.feature
@@ -1,6 +1,6 @@
 Feature: Acknowledgement of writes
-  A write is acknowledged once a majority has shown it, each target in one
-  answer, while the term it was written in is the newest one known.
+  A write is acknowledged once a majority has confirmed it, each target in a
+  single answer, while the term of the write is the newest known one.
 
   Background:
     Given a view of the targets "ada, bob, cyd"
@@ -22,9 +22,9 @@
     Then the write is acknowledged
 
   Scenario: A record that arrives after the fence does not count
-    A proxy fences "bob" for term 2 and finds its log at 1:4. The old
-    primary's record reaches it late, and the new primary lacks it. Counted
-    by its log alone, the caller would have a turn that nobody knows of.
+    A proxy fences "bob" for term 2 while its log ends at 1:4. The record of
+    the old primary arrives after that, and the new primary lacks it. If the
+    log end counted without its term, an acknowledged write would be lost.
     When a write at 1:5 waits for 500 ms
     And "ada" answers as primary in term 1 with its log at 1:5
     And "bob" answers as fenced in term 2 with its log at 1:5
@@ -38,8 +38,8 @@
     Then the write is acknowledged
 
   Scenario: A newer term is known
-    The majority held the write, but its primary was superseded before the
-    answer went out; what the new primary holds is looked up instead.
+    A majority holds the write, but its primary was superseded before the
+    acknowledgement, and the new primary may lack the write.
     When "ada" answers as primary in term 1 with its log at 1:5
     And "bob" answers as replica in term 1 with its log at 1:5
     And "cyd" refuses a fence as it holds term 2
@@ -47,9 +47,9 @@
     Then the write is refused
 
   Scenario: The proxy freezes between evidence and answer
-    The evidence is there, and the proxy's process stops for two seconds. A
-    new primary is promoted meanwhile. On waking, the old evidence must not
-    be told to the caller; it is asked for again, and shows the new term.
+    The proxy has the evidence and is then frozen for two seconds, in which a
+    new primary is promoted. The old evidence must not acknowledge the write;
+    the proxy polls the targets again, which shows the new term.
     When "ada" answers as primary in term 1 with its log at 1:5
     And "bob" answers as replica in term 1 with its log at 1:5
     And the proxy is frozen for 2 s
@@ -83,8 +83,8 @@
     Then the write is refused
 
   Scenario: Two targets lead in one term
-    Whichever is asked, acknowledged writes of the other may be missing. None
-    of them is the primary, and no write of that term is acknowledged.
+    Either may lack acknowledged writes of the other. None of them counts as
+    the primary, and no write of that term is acknowledged.
     When "ada" answers as primary in term 1 with its log at 1:5
     And "bob" answers as primary in term 1 with its log at 1:7
     And a write at 1:5 waits for 500 ms
--- a/tests/features/group_bench.py
+++ b/tests/features/group_bench.py
@@ -1,4 +1,4 @@
-"""Run keepers of one group against databases in memory, in virtual time."""
+"""Run supervisors of one group on databases in memory, in virtual time."""
 
 import random
 from asyncio import Task, create_task, sleep, timeout_at
@@ -35,28 +35,28 @@
 SCHEMA = 'CREATE TABLE turns (id INTEGER PRIMARY KEY)'
 ADDRESS = Address('', 0)
 WRITE_TIME = 0.5
-PANEL_TIME = 0.1
+QUERY_TIMEOUT = 0.1
 
 Outcome = TypeVar('Outcome')
 
 
-class ReachablePanel(PeerQuery):
-    """Ask the other proxies that no cut separates."""
+class ReachablePeers(PeerQuery):
+    """Query the proxies that the network doesn't separate from this one."""
 
     def __init__(self, bench: 'GroupBench', own: Place) -> None:
-        """Ask from `own`."""
+        """Query from the place `own`."""
         self._bench = bench
         self._own = own
 
     async def query_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
-        """Return the answers; a proxy out of reach costs the whole time."""
+        """Return the reports; wait the timeout for an unreachable proxy."""
         network = self._bench.databases.network
         reports = []
         for node in self._bench.nodes.values():
             if node.place == self._own:
                 continue
             if node.stopped or network.is_cut(self._own, node.place):
-                await sleep(PANEL_TIME)
+                await sleep(QUERY_TIMEOUT)
                 continue
             await sleep(network.read_latency(self._own, node.place) * 2)
             reports.append(node.view.report_primary())
@@ -64,10 +64,10 @@
 
 
 class ProxyNode:
-    """Hold what one proxy has of the group."""
+    """The part of one proxy that deals with the group."""
 
     def __init__(self, bench: 'GroupBench', name: str, zone: str) -> None:
-        """Build the proxy's keeper without starting it."""
+        """Create the proxy's supervisor without starting it."""
         self.place = Place(name, zone)
         self.pauses = PauseWatch()
         self.view = GroupView(GROUP, self.pauses)
@@ -77,11 +77,11 @@
             ZoneId(zone),
             name,
         )
-        self.keeper = GroupSupervisor(
+        self.supervisor = GroupSupervisor(
             GROUP,
             self.view,
             self.connector,
-            ReachablePanel(bench, self.place),
+            ReachablePeers(bench, self.place),
             ProxyId(name),
             self.decisions,
         )
@@ -96,7 +96,7 @@
         self._running = create_task(self._run())
 
     async def stop(self) -> None:
-        """Die at once, wherever its tasks are."""
+        """Cancel all tasks at once, as in a crash."""
         self.stopped = True
         if self._running is not None:
             self._running.cancel()
@@ -104,7 +104,7 @@
                 await self._running
 
     async def write(self, number: int) -> Point | None:
-        """Write one row; return its point once acknowledged."""
+        """Write one row; return its point if it is acknowledged."""
         deadline = Monotonic(read_clock() + WRITE_TIME)
         primary = self.view.get_primary()
         if primary is None:
@@ -122,7 +122,7 @@
         async with AsyncExitStack() as owned:
             watching = create_task(self.pauses.run())
             owned.callback(watching.cancel)
-            await owned.enter_async_context(self.keeper)
+            await owned.enter_async_context(self.supervisor)
             await watching
 
     async def _send(
@@ -147,7 +147,7 @@
 
 
 class GroupBench:
-    """Hold a group, its proxies and what was acknowledged."""
+    """A group, its proxies and the acknowledged writes."""
 
     def __init__(self, seed: int = 1) -> None:
         """Start the group with a first primary and no proxy."""
@@ -159,7 +159,7 @@
         self.acknowledged: dict[int, float] = {}
         self._numbers = 0
         self.points: list[Point] = []
-        # Barriers below what was acknowledged before their session opened.
+        # Barriers below a write acknowledged before their session was opened.
         self.stale: list[Point] = []
         self._tasks: list[Task[None]] = []
 
@@ -168,15 +168,15 @@
         return self.loop.run_until_complete(work)
 
     def ask(self, question: Callable[[], Outcome]) -> Outcome:
-        """Call what needs the running loop's clock."""
+        """Call `question` inside the running loop."""
         return self.run(_call(question))
 
     def wait(self, seconds: float) -> None:
-        """Let the time pass."""
+        """Run the loop for some virtual time."""
         self.run(sleep(seconds))
 
     def pause(self, seconds: float) -> None:
-        """Freeze the process: time passes and no task runs."""
+        """Freeze the process: advance the time without running tasks."""
         self.loop._selector.clock.advance(seconds)
 
     def start_proxies(self, *names: str) -> None:
@@ -189,31 +189,31 @@
         self.wait(0.3)
 
     def cut(self, one: str, other: str) -> None:
-        """Let nothing pass between two places or zones."""
+        """Cut the network between two places or zones."""
         self.ask(partial(self.databases.network.cut, one, other))
 
     def slow_zone(self, zone: str, latency: float) -> None:
-        """Let each message to or from a zone take `latency` seconds."""
+        """Set the latency of messages to and from a zone."""
         for other in PROXIES.values():
             self.databases.network.set_latency(zone, other, latency)
 
-    def revive(self) -> None:
+    def restart_all(self) -> None:
         """Restart and thaw all databases."""
         for database in self.databases.databases.values():
             self.ask(database.restart)
             self.ask(database.thaw)
 
-    def mend(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
         self.ask(self.databases.network.heal)
-        self.revive()
+        self.restart_all()
         for database in self.databases.databases.values():
             self.ask(partial(database.set_lag, 0))
         self.leaving.clear()
         self.configure()
 
     def configure(self) -> None:
-        """Hand the configuration to all proxies."""
+        """Apply the configuration to all proxies."""
         targets = [
             Target(
                 name=TargetId(name),
@@ -227,7 +227,7 @@
         ]
         proxies = [ProxyId(name) for name in self.nodes]
         for node in self.nodes.values():
-            self.ask(partial(node.keeper.set_targets, targets, proxies))
+            self.ask(partial(node.supervisor.set_targets, targets, proxies))
 
     def start_writing(self, name: str) -> None:
         """Write one row after the other through a proxy."""
@@ -264,7 +264,7 @@
         self.loop.close()
 
     def start_reading(self, name: str) -> None:
-        """Open one session after the other, and check its barrier."""
+        """Open one session after the other and check its barrier."""
         self._tasks.append(self.loop.create_task(self._read(name)))
 
     def _list_rows(self) -> set[object]:
--- a/tests/features/group_faults.py
+++ b/tests/features/group_faults.py
@@ -1,4 +1,4 @@
-"""Strike a group of databases and its proxies with random faults."""
+"""Inject random faults into a group of databases and its proxies."""
 
 from collections.abc import Callable
 from functools import partial
@@ -10,8 +10,8 @@
 NAMES = tuple(DATABASES)
 
 
-def strike(bench: GroupBench, random: Random) -> None:
-    """Let one fault happen, or end those of one kind."""
+def inject_fault(bench: GroupBench, random: Random) -> None:
+    """Inject one random fault, or end the faults of one kind."""
     fault = random.choice(FAULTS)
     fault(bench, random)
 
@@ -51,8 +51,8 @@
     bench.ask(bench.databases.network.heal)
 
 
-def _revive(bench: GroupBench, _random: Random) -> None:
-    bench.revive()
+def _restart(bench: GroupBench, _random: Random) -> None:
+    bench.restart_all()
 
 
 FAULTS: tuple[Callable[[GroupBench, Random], None], ...] = (
@@ -65,6 +65,6 @@
     _pause,
     _heal,
     _heal,
-    _revive,
-    _revive,
+    _restart,
+    _restart,
 )
--- a/tests/features/steps/acknowledgement_steps.py
+++ b/tests/features/steps/acknowledgement_steps.py
@@ -1,4 +1,4 @@
-"""Check acknowledgements on a view that is told answers."""
+"""Check acknowledgements on a view that is given answers."""
 
 from asyncio import sleep
 from functools import partial
@@ -25,13 +25,13 @@
 
 
 def parse_point(text: str) -> Point:
-    """Read a point written as TERM:POSITION."""
+    """Parse a point written as TERM:POSITION."""
     term, position = text.split(':')
     return Point(Term(int(term)), Position(int(position)))
 
 
 def run(context: Any, question: Any) -> Any:
-    """Call `question` in the loop and let all tasks react."""
+    """Call `question` in the loop and let the woken tasks run."""
 
     async def call() -> Any:
         answer = question()
@@ -68,7 +68,7 @@
 
 @given('the evidence counts without its term')
 def count_without_term(context: Any) -> None:
-    def date_anyhow(
+    def find_time_of_any_term(
         observations: list[Observation],
         majority: int,
         point: Point,
@@ -83,9 +83,9 @@
     for name, double in (
         (
             'sedgeshunt.groups.quorum_tracker.find_confirmation_time',
-            date_anyhow,
+            find_time_of_any_term,
         ),
-        ('sedgeshunt.groups.terms.TermHistory.record', _learn_nothing),
+        ('sedgeshunt.groups.terms.TermHistory.record', _record_nothing),
     ):
         off = patch(name, double)
         off.start()
@@ -93,14 +93,14 @@
     context.view.terms.newest = Term(1)
 
 
-def _learn_nothing(*_arguments: Any) -> bool:
+def _record_nothing(*_arguments: Any) -> bool:
     return True
 
 
 @given('evidence counts whatever its age')
 def count_old_evidence(context: Any) -> None:
     for off in (
-        patch.object(PauseWatch, 'check', _learn_nothing),
+        patch.object(PauseWatch, 'check', _record_nothing),
         patch('sedgeshunt.groups.quorum_tracker.MAX_EVIDENCE_AGE', 100),
     ):
         off.start()
--- a/tests/features/steps/promotion_steps.py
+++ b/tests/features/steps/promotion_steps.py
@@ -16,7 +16,7 @@
 from sedgeshunt.groups.status import Role
 from sedgeshunt.identifiers import Term
 from tests.features.group_bench import DATABASES, PROXIES, GroupBench
-from tests.features.group_faults import strike
+from tests.features.group_faults import inject_fault
 from tests.standins.records import EventKind
 
 MILLISECONDS = 1000
@@ -24,7 +24,7 @@
 COUNT_MAJORITY = 'sedgeshunt.groups.members.count_majority'
 
 
-async def _object_never(*_arguments: Any) -> bool:
+async def _never_defer(*_arguments: Any) -> bool:
     return False
 
 
@@ -33,7 +33,7 @@
 
 
 def _find_nothing(*_arguments: Any) -> None:
-    """Find nothing, whatever there is."""
+    """Return None for any arguments."""
 
 
 SAFEGUARDS = {
@@ -43,7 +43,7 @@
         patch.object,
         PromotionDeferral,
         'should_defer',
-        _object_never,
+        _never_defer,
     ),
     'pauses': partial(patch.object, PauseWatch, 'check', _find_nothing),
     'stall watch': partial(
@@ -52,7 +52,7 @@
         'find_stall',
         _find_nothing,
     ),
-    'gentle stop': partial(
+    'early fence': partial(
         patch.object,
         Promoter,
         '_fence_leaving_primary',
@@ -85,7 +85,7 @@
 
 
 @given('all proxies act at once and ask no peers')
-def let_rivals_act(context: Any) -> None:
+def skip_rank_delay(context: Any) -> None:
     _switch_off(context, 'rank delay')
     _switch_off(context, 'peers')
 
@@ -103,7 +103,7 @@
 
 @when('database "{name}" gets the label that it is leaving')
 def label_database(context: Any, name: str) -> None:
-    # The others copy each record so late that a fence finds them behind.
+    # The replicas lag so much that they are behind when they are fenced.
     for database in context.bench.databases.databases.values():
         context.bench.ask(partial(database.set_lag, 0.05))
     context.bench.leaving.add(name)
@@ -142,14 +142,14 @@
     context.bench.ask(context.bench.databases.network.heal)
 
 
-@when('the promoting proxy dies once it has fenced a target')
+@when('the promoting proxy crashes once it has fenced a target')
 def stop_promoter(context: Any) -> None:
     bench = context.bench
     started = bench.loop.time()
     while bench.databases.list_events(EventKind.FENCED)[-1].at < started:
         bench.wait(0.001)
     nodes = bench.nodes.values()
-    first = min(nodes, key=lambda node: node.keeper._promoter.rank)
+    first = min(nodes, key=lambda node: node.supervisor._promoter.rank)
     bench.run(first.stop())
 
 
@@ -163,22 +163,22 @@
 
 @when("the proxies' process is frozen for {seconds:d} s")
 def freeze_process(context: Any, seconds: int) -> None:
-    # The primary's answer is the last to come when the process wakes up.
+    # The primary's answer is the last to arrive after the pause.
     context.bench.slow_zone('east', 0.02)
     context.bench.wait(0.5)
     context.bench.pause(seconds)
 
 
 @when('faults strike for {seconds:d} s by seed {seed:d}')
-def let_faults_strike(context: Any, seconds: int, seed: int) -> None:
+def inject_faults(context: Any, seconds: int, seed: int) -> None:
     bench, random = context.bench, Random(seed)
     for proxy in PROXIES:
         bench.start_reading(proxy)
     end = bench.loop.time() + seconds
     while bench.loop.time() < end:
         bench.wait(random.uniform(0.05, 1))
-        strike(bench, random)
-    bench.mend()
+        inject_fault(bench, random)
+    bench.end_faults()
     bench.wait(3)
 
 
--- a/tests/features/steps/watermarks_steps.py
+++ b/tests/features/steps/watermarks_steps.py
@@ -1,4 +1,4 @@
-"""Check watermarks on a view that is told answers."""
+"""Check watermarks on a view that is given answers."""
 
 from typing import Any
 
--- a/tests/features/watermarks.feature
+++ b/tests/features/watermarks.feature
@@ -1,13 +1,13 @@
 Feature: Watermarks
-  What a majority showed when asked after a moment is at or above everything
-  acknowledged before it. Reads are proven fresh by it, without a primary.
+  The log ends of a majority asked after a moment are at or above all writes
+  acknowledged before it. This proves reads fresh without asking the primary.
 
   Background:
     Given a view of the targets "ada, bob, cyd"
 
   Scenario: A session without a token waits for the first watermark
-    Its barrier has to cover what was acknowledged before it was opened, so
-    answers to earlier questions don't count, also when they come later.
+    Its barrier has to cover the writes acknowledged before it was opened, so
+    answers to earlier requests don't count, even if they arrive later.
     When at 1000 ms "ada" answers 1:9, asked at 900 ms
     And at 1001 ms "bob" answers 1:9, asked at 950 ms
     And a session opens at 960 ms and waits for its barrier
@@ -18,8 +18,8 @@
     Then the barrier is 1:9
 
   Scenario: The primary's latest records are left out
-    Nobody was promised what only the primary has. A barrier drawn from the
-    two replicas keeps reads from waiting for it.
+    Records that only the primary has are not acknowledged. With a barrier
+    taken from the two replicas, reads don't wait for them.
     When at 1000 ms "ada" answers 1:20, asked at 990 ms
     And at 1000 ms "bob" answers 1:12, asked at 990 ms
     And at 1000 ms "cyd" answers 1:11, asked at 990 ms
@@ -38,8 +38,8 @@
     And at 1600 ms the data of "cyd" is at most 610 ms old
 
   Scenario: Nothing proves the age of a target's data
-    The proxy hears a single target. Whatever that one says, a majority
-    elsewhere may have taken writes since.
+    The proxy reaches a single target. Whatever its status is, the other two
+    may have acknowledged writes since.
     When at 1000 ms "bob" answers 1:10, asked at 990 ms
     Then at 1000 ms the age of the data of "bob" is not proven
 
@@ -54,10 +54,10 @@
     And at 4000 ms "cyd" answers 1:11, asked at 3990 ms
     Then at 4100 ms the data of "bob" is at most 1110 ms old
 
-  Scenario: A suffix that nobody was promised is dropped
-    The old primary's log ends at 1:15, of which 1:10 was acknowledged. Told
-    to follow, it drops the rest and is as fresh as before, but it never
-    covers the points of the new term before it has copied them.
+  Scenario: An unacknowledged suffix is dropped
+    The old primary's log ends at 1:15, of which 1:10 was acknowledged. Once
+    it follows, it drops the rest and is as fresh as before, but it doesn't
+    cover points of the new term before it has copied them.
     When at 1000 ms "ada" answers 1:15, asked at 990 ms
     And at 1000 ms "bob" answers 1:10, asked at 990 ms
     And at 1010 ms "bob" answers 2:11 as primary, asked at 1005 ms
@@ -75,9 +75,9 @@
     And "bob" covers 1:10
 
   Scenario: A log that ends in a term above the target's own is not counted
-    Its source leads again, and it copied records of the newer term without
-    ever being fenced for it. A late order to follow the primary of a term in
-    between would still be accepted, and would drop them under a session.
+    Its source was promoted again, and it copied records of the newer term
+    without a fence for it. It would still accept a late order to follow the
+    primary of a term in between and drop records that a session depends on.
     When at 1000 ms "bob" answers 3:9 in term 1, asked at 990 ms
     And at 1000 ms "cyd" answers 3:8 in term 3, asked at 990 ms
     Then "bob" does not cover 3:7
@@ -85,9 +85,9 @@
     When at 1010 ms "bob" answers 3:9 in term 3, asked at 1005 ms
     Then "bob" covers 3:7
 
-  Scenario: A target forgets what it has shown
-    It was restored from a backup. Counted, it would vouch for writes that it
-    no longer has; it is left out until it shows them again.
+  Scenario: A target loses records that it has shown
+    It was restored from a backup. Its earlier answers count for writes that
+    it no longer has, so it is excluded until it shows them again.
     When at 1000 ms "ada" answers 1:10, asked at 990 ms
     And at 1000 ms "bob" answers 1:10, asked at 990 ms
     And at 1100 ms "bob" answers 1:7, asked at 1090 ms
@@ -96,8 +96,8 @@
     When at 1200 ms "bob" answers 1:10, asked at 1190 ms
     Then "bob" covers 1:10
 
-  Scenario: An answer that was overtaken is no news
-    Two calls to one target crossed: the later answer was read earlier.
+  Scenario: An answer that arrives out of order is ignored
+    Two calls to one target overlap: the later answer was read earlier.
     When at 1000 ms "bob" answers 1:10, asked at 990 ms
     And at 1001 ms "bob" answers 1:9, asked at 980 ms
     Then "bob" covers 1:10
--- a/tests/specs/acknowledgement_spec.py
+++ b/tests/specs/acknowledgement_spec.py
@@ -11,30 +11,30 @@
 
 
 class Evidence(Enum):
-    """Tell what a proxy has of one target for a write of the old term."""
+    """A proxy's evidence from one target for a write of the old term."""
 
     NONE = 0
-    # Asked for before the proxy was frozen.
+    # Requested before the proxy was frozen.
     STALE = 1
     FRESH = 2
 
 
 class State(NamedTuple):
-    """Hold the targets' fences, a proxy's evidence and what it told."""
+    """The targets' fences, and a proxy's evidence and acknowledgement."""
 
     fences: tuple[int, ...]
     evidence: tuple[Evidence, ...]
     is_superseded: bool
-    # A new primary led already when the proxy's last freeze ended.
+    # A new primary existed when the proxy's last freeze ended.
     woke_late: bool
-    told_late: bool
+    acknowledged_late: bool
 
 
 Step = tuple[str, State]
 
 
 def specify_acknowledgement(needs_fresh: bool = True) -> Specification:
-    """Return a proxy that may be frozen at any moment, and a rival."""
+    """Specify a proxy that may be frozen at any time, and a second one."""
     return Specification(
         'acknowledgement',
         State._fields,
@@ -43,15 +43,15 @@
             (Evidence.NONE,) * 3,
             is_superseded=False,
             woke_late=False,
-            told_late=False,
+            acknowledged_late=False,
         ),
         _FreshSteps().list_steps if needs_fresh else _Steps().list_steps,
-        {'nothing is acknowledged for a superseded primary': _is_silent},
+        {'nothing is acknowledged for a superseded primary': _is_kept},
     )
 
 
-def _is_silent(fields: dict[str, Any]) -> bool:
-    return not fields['told_late']
+def _is_kept(fields: dict[str, Any]) -> bool:
+    return not fields['acknowledged_late']
 
 
 class _Steps:
@@ -74,13 +74,13 @@
             steps.append(('a new primary leads', superseded))
         trusted = sum(known in self.trusted for known in state.evidence)
         if trusted >= MAJORITY:
-            told = state._replace(told_late=state.woke_late)
-            steps.append(('the write is acknowledged', told))
+            acknowledged = state._replace(acknowledged_late=state.woke_late)
+            steps.append(('the write is acknowledged', acknowledged))
         return steps
 
 
 class _FreshSteps(_Steps):
-    """List the steps of a proxy that asks again after a freeze."""
+    """List the steps of a proxy that requests new evidence after a freeze."""
 
     trusted = frozenset((Evidence.FRESH,))
 
--- a/tests/specs/promotion_choice.py
+++ b/tests/specs/promotion_choice.py
@@ -1,4 +1,4 @@
-"""Choose the target to promote among those that were fenced."""
+"""Choose the database to promote among those that were fenced."""
 
 from itertools import combinations
 
@@ -12,12 +12,12 @@
 
 
 def choose(scope: Scope, ends: tuple[End, ...]) -> set[int]:
-    """Return all that may be promoted by the log ends of the fences."""
+    """Return the databases that may be promoted, by their log ends."""
     fenced = [index for index, end in enumerate(ends) if end != UNKNOWN_END]
     is_lax = scope.lacks(Safeguard.FENCE_MAJORITY)
     needed = 1 if is_lax else MAJORITY
     chosen: set[int] = set()
-    # The choice may have been made before the last fences came in.
+    # The choice may be made before the last fences are answered.
     for size in range(needed, len(fenced) + 1):
         for known in combinations(fenced, size):
             chosen.update(_choose_among(scope, ends, known))
--- a/tests/specs/promotion_evidence.py
+++ b/tests/specs/promotion_evidence.py
@@ -1,4 +1,4 @@
-"""Track what proxies may have seen of each write, at any time."""
+"""Track which answers proxies may have seen for each write."""
 
 from collections.abc import Sequence
 
@@ -21,13 +21,13 @@
 
 
 class Tracker:
-    """Add to each write what the databases would answer now."""
+    """Add the databases' current answers to each write."""
 
-    # Answers are never forgotten: a proxy may get each of them late, or be
-    # frozen before it uses them, and any number of proxies may ask.
+    # Answers are kept forever: a proxy may receive an answer late or be frozen
+    # before it uses it, and any number of proxies may send requests.
 
     def __init__(self, scope: Scope) -> None:
-        """Count answers by the rules of `scope`."""
+        """Count answers with the safeguards of `scope`."""
         self._scope = scope
         self._known: dict[tuple[Write, tuple[Answer, ...]], Write] = {}
 
@@ -36,7 +36,7 @@
         databases: Sequence[Database],
         writes: Sequence[Write],
     ) -> tuple[Write, ...]:
-        """Return the writes with what can be seen of them now."""
+        """Return the writes with the current answers added."""
         if not writes:
             return ()
         answers = tuple(
@@ -68,7 +68,7 @@
         if end >= write.point and _counts(scope, bit, fence, write, in_term):
             shown |= bit
     behind = _track_behind(scope, write, shown, answers)
-    # What no later step looks at is left out, to keep the states few.
+    # State that no later step reads is dropped, to reduce the state space.
     if behind != NOBODY:
         shown = ALL
     if not scope.lacks(Safeguard.ONE_ANSWER):
@@ -106,7 +106,7 @@
         needed = 1 if is_lax else MAJORITY
         if BIT_COUNTS[shown] < needed:
             return NOBODY
-        # From here on the write may be acknowledged, and a watermark of a
+        # From here on the write may be acknowledged, so a watermark of a
         # later moment has to cover it.
         behind = ALL if scope.lacks(Safeguard.ASKED_AFTER) else 0
     for bit, _fence, end in answers:
--- a/tests/specs/promotion_spec.py
+++ b/tests/specs/promotion_spec.py
@@ -17,7 +17,7 @@
 
 
 def specify_promotion(scope: Scope) -> Specification:
-    """Return three databases, two proxies and any number of observers."""
+    """Specify three databases, two proxies and any number of observers."""
     return Specification(
         'promotion',
         State._fields,
@@ -33,12 +33,12 @@
 
 
 def has_one_primary(fields: dict[str, Any]) -> bool:
-    """Tell whether no term was led by two databases."""
+    """Return whether each term had at most one primary."""
     return RIVALS not in fields['leaders']
 
 
 def keeps_acknowledged(fields: dict[str, Any]) -> bool:
-    """Tell whether each later primary has each acknowledged write."""
+    """Return whether each later primary has all acknowledged writes."""
     state = State(**fields)
     return all(
         _has_record(state, index, number)
@@ -51,7 +51,7 @@
 
 
 def serves_tokens(fields: dict[str, Any]) -> bool:
-    """Tell whether whoever once covered a token's point has the write."""
+    """Return whether each database that covered a write still has it."""
     state = State(**fields)
     return all(
         _has_record(state, index, number)
@@ -63,7 +63,7 @@
 
 
 def has_sound_watermarks(fields: dict[str, Any]) -> bool:
-    """Tell whether no majority, asked later, ends below the write."""
+    """Return whether no majority asked later ends below the write."""
     return all(
         BIT_COUNTS[write.behind] < MAJORITY
         for write in fields['writes']
--- a/tests/specs/promotion_state.py
+++ b/tests/specs/promotion_state.py
@@ -1,4 +1,4 @@
-"""Define the state of a group while it is promoted and written to."""
+"""Define the state of a group during promotions and writes."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 MAJORITY = 2
 FIRST_TERM = 1
 NOBODY = -1
-# Stands for two databases promoted in one term.
+# Marks a term in which two databases were promoted.
 RIVALS = 9
 
 # A point: the last record's term, then the length of the log.
@@ -20,7 +20,7 @@
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out of the protocol."""
+    """Safeguards that can be removed from the protocol."""
 
     FENCE_MAJORITY = 'a majority is fenced before a promotion'
     FENCE_FIRST = 'the choice is made by what the fences answered'
@@ -38,22 +38,22 @@
 
 @dataclass(frozen=True)
 class Scope:
-    """Bound the search and name the safeguard that is taken out."""
+    """Bounds of the search, and the safeguard that is removed."""
 
     writes: int = 2
     proxies: int = 2
     last_term: int = 3
-    # A fenced target still takes the old primary's late records.
+    # A fenced database still accepts late records of the old primary.
     late_records: bool = False
     removed: Safeguard | None = None
 
     def lacks(self, safeguard: Safeguard) -> bool:
-        """Tell whether a safeguard is taken out."""
+        """Return whether a safeguard is removed."""
         return safeguard is self.removed
 
 
 class Database(NamedTuple):
-    """Hold one database's fencing term, whom it copies, and its log."""
+    """Fencing term, replication source and log of one database."""
 
     fence: int
     source: int
@@ -62,14 +62,14 @@
 
 
 class Round(NamedTuple):
-    """Hold a proxy's latest attempt: log ends by fence, () when over."""
+    """A proxy's latest attempt: log ends of its fences, () when over."""
 
     term: int
     ends: tuple[End, ...]
 
 
 class Write(NamedTuple):
-    """Hold a write and what any proxy may have seen of it, as bit sets."""
+    """A write and the answers any proxy may have seen, as bit sets."""
 
     point: End
     # Databases that showed it in an answer with its own term.
@@ -79,21 +79,21 @@
     # Databases that showed a lower log end after it could be acknowledged;
     # NOBODY before.
     behind: int
-    # Databases that ever showed its term, for answers that are read apart.
+    # Databases that ever showed its term, for separately read answers.
     in_term: int
 
     @property
     def is_acknowledged(self) -> bool:
-        """Tell whether some proxy may have acknowledged it."""
+        """Return whether some proxy may have acknowledged it."""
         return self.behind != NOBODY
 
 
 class State(NamedTuple):
-    """Hold the group, the proxies, who led each term, and the writes."""
+    """The databases, the proxies, the primary of each term, the writes."""
 
     databases: tuple[Database, ...]
     rounds: tuple[Round, ...]
-    # Whoever was promoted in the terms after the first.
+    # The database promoted in each term after the first.
     leaders: tuple[int, ...]
     writes: tuple[Write, ...]
 
@@ -107,7 +107,7 @@
 
 
 def find_leading_term(state: State, database: int) -> int:
-    """Return the last term that a database was promoted in, 0 if none."""
+    """Return the last term in which a database was primary, 0 if none."""
     terms = [
         FIRST_TERM + 1 + index
         for index, leader in enumerate(state.leaders)
@@ -119,7 +119,7 @@
 
 
 def is_primary(state: State, database: int) -> bool:
-    """Tell whether a database takes writes."""
+    """Return whether a database accepts writes."""
     known = state.databases[database]
     if known.is_fenced or known.source != NOBODY:
         return False
--- a/tests/specs/promotion_steps.py
+++ b/tests/specs/promotion_steps.py
@@ -1,4 +1,4 @@
-"""List the steps of databases, proxies and network, in any order."""
+"""List the steps of databases, proxies and the network."""
 
 from collections.abc import Iterator
 
@@ -25,26 +25,26 @@
 )
 
 Step = tuple[str, State]
-# What a status read at the start says of all databases.
+# The log end in a status of any database read at the start.
 EARLY_END = (FIRST_TERM, 1)
 
 
 class PromotionSteps:
-    """List what may happen next in a state."""
+    """List the steps that are possible in a state."""
 
-    # A message that is lost is a step that does not happen, a late one is a
-    # step that happens later: requests stay possible after their sender gave
-    # up, and answers are used at any time after they were read. A frozen or
-    # dead process is one without steps.
+    # A lost message is a step that never happens, and a delayed one a step
+    # that happens later: requests remain possible after their sender timed
+    # out, and answers are used at any time after they were read. A frozen or
+    # crashed process takes no steps.
 
     def __init__(self, scope: Scope) -> None:
-        """Stay within `scope`."""
+        """Set the bounds and safeguards of the steps."""
         self._scope = scope
         self._tracker = Tracker(scope)
         self._terms = range(FIRST_TERM + 1, scope.last_term + 1)
 
     def list_steps(self, state: State) -> list[Step]:
-        """Return all next states with what leads there."""
+        """Return all next states with the labels of the steps."""
         steps: list[Step] = []
         for index in DATABASES:
             steps.extend(self._list_writes(state, index))
@@ -57,7 +57,7 @@
         return [(label, self._complete(after)) for label, after in steps]
 
     def _complete(self, state: State) -> State:
-        # The proxies are alike, so their order does not matter.
+        # The proxies are interchangeable, so their order doesn't matter.
         rounds = sorted(_shorten(latest, state) for latest in state.rounds)
         return State(
             state.databases,
@@ -118,7 +118,7 @@
             if is_open or latest.term < term:
                 won = self._add_fence(latest, term, index, state)
                 yield label, _change_round(state, proxy, won)
-        # A choice may leave out any answer, which is the same as its loss.
+        # A choice may ignore any answer, which is the same as its loss.
         if not is_awaited:
             yield f'{label}, answer lost', state
 
@@ -185,7 +185,7 @@
 
 def _shorten(latest: Round, state: State) -> Round:
     # A round that can neither fence nor promote any more is over, and so is
-    # one whose proxy could start no other in its term.
+    # one whose proxy couldn't start another round in its term.
     for known in state.databases:
         if known.fence < latest.term:
             return latest
--- a/tests/standins/databases.py
+++ b/tests/standins/databases.py
@@ -105,7 +105,7 @@
     def thaw(self) -> None:
         """Go on where the freeze began."""
         self.frozen = False
-        self._announce()
+        self._notify_replicas()
 
     def set_lag(self, seconds: float) -> None:
         """Apply each record so long after its commit."""
@@ -152,6 +152,6 @@
         return sum(session.counted for session in self.sessions.values())
 
     def _tell_change(self) -> None:
-        self._announce()
+        self._notify_replicas()
         for listener in self.listeners:
             listener()
--- a/tests/standins/members.py
+++ b/tests/standins/members.py
@@ -1,4 +1,4 @@
-"""Keep one database's term, role and log, and copy from its primary."""
+"""Simulate the term, role and log of one database and its replication."""
 
 from asyncio import TimerHandle, get_running_loop
 
@@ -13,10 +13,10 @@
 
 
 class Member:
-    """Follow the rules of terms and fences; know nothing of clients."""
+    """Replication protocol of one database, without client connections."""
 
     def __init__(self, place: Place, group: GroupState) -> None:
-        """Start as a replica that follows nobody, with an empty log."""
+        """Start as a replica without a source, with an empty log."""
         self.place = place
         self.name = TargetId(place.name)
         self.group = group
@@ -38,7 +38,7 @@
         return self.log[-1].point if self.log else ORIGIN
 
     def read_status(self) -> TargetStatus:
-        """Return term, log end and role as of one moment."""
+        """Return term, log end and role, read atomically."""
         return TargetStatus(
             self.name,
             self.fencing_term,
@@ -48,14 +48,14 @@
         )
 
     def fence(self, term: Term) -> None:
-        """Take no more writes nor records; raise FenceRefused."""
+        """Accept no more writes or records; raise FenceRefused."""
         if term <= self.fencing_term:
             raise FenceRefused(self.name, self.fencing_term)
         self.fencing_term = term
         self._change_role(Role.FENCED, EventKind.FENCED)
 
     def promote(self, term: Term) -> None:
-        """Lead and write the opening record; raise FenceRefused."""
+        """Become primary and write the opening record; raise FenceRefused."""
         fenced = self.role is Role.FENCED and self.fencing_term == term
         if fenced and term in self.group.promoted:
             self.group.note(self.place, EventKind.RIVAL)
@@ -67,7 +67,7 @@
         self.append(())
 
     def follow(self, term: Term, primary: TargetId) -> None:
-        """Copy from `primary` only; raise FenceRefused."""
+        """Replicate from `primary` only; raise FenceRefused."""
         known = primary in self.group.members and primary != self.name
         if term < self.fencing_term or not known:
             raise FenceRefused(self.name, self.fencing_term)
@@ -75,15 +75,15 @@
         self._change_role(Role.REPLICA, EventKind.FOLLOWED, primary)
 
     def append(self, statements: tuple[str, ...]) -> Point:
-        """Add a record of the own term and let the followers see it."""
+        """Append a record of the own term and notify the replicas."""
         position = Position(len(self.log) + 1)
         point = Point(self.leading_term, position)
         self.log.append(Record(point, statements, read_clock()))
-        self._announce()
+        self._notify_replicas()
         return point
 
     def copy(self) -> None:
-        """Take the records that are due and come back for the rest."""
+        """Copy the records that are due; schedule a call for the rest."""
         if self._timer is not None:
             self._timer.cancel()
         source = self._find_source()
@@ -103,7 +103,7 @@
             self.changed.fire()
 
     def drop_transactions(self) -> None:
-        """Undo the open transactions of clients."""
+        """Roll back the open transactions of clients."""
 
     def _find_source(self) -> 'Member | None':
         if self.following is None or not self._is_running():
@@ -111,8 +111,8 @@
         source = self.group.members[self.following]
         if not source._is_running() or source.role is Role.REPLICA:
             return None
-        # A primary that was fenced off must not feed a target of the new
-        # term: its late records would count as evidence for lost writes.
+        # A superseded primary must not send records to a target of the new
+        # term: they would count as evidence for writes that are lost.
         if source.leading_term < self.fencing_term:
             return None
         if self.group.network.is_cut(source.place, self.place):
@@ -147,9 +147,9 @@
         self.following = following
         self.group.note(self.place, kind, point=self.log_end)
         self.drop_transactions()
-        self._announce()
+        self._notify_replicas()
 
-    def _announce(self) -> None:
+    def _notify_replicas(self) -> None:
         self.changed.fire()
         for member in self.group.members.values():
             member.copy()
--- a/tests/standins/records.py
+++ b/tests/standins/records.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Hold one committed transaction of the log."""
+    """One committed transaction of the log."""
 
     point: Point
     statements: tuple[str, ...]
@@ -24,7 +24,7 @@
 
 
 class EventKind(Enum):
-    """Name what can happen at a database."""
+    """Kinds of events at a database."""
 
     CONNECTED = 'connected'
     CLOSED = 'closed'
@@ -35,7 +35,7 @@
     REFUSED = 'refused'
     FENCED = 'fenced'
     PROMOTED = 'promoted'
-    # A second database asked to lead in a term that has its primary.
+    # A promotion was ordered in a term that already has a primary.
     RIVAL = 'rival'
     FOLLOWED = 'followed'
     DROPPED = 'dropped'
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Tell what happened when, where and on whose connection."""
+    """One event at a database, with its time and connection."""
 
     at: Monotonic
     database: TargetId
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class GroupState:
-    """Hold what the databases of one group share."""
+    """State shared by the databases of one group."""
 
     network: Network
     random: Random
@@ -76,7 +76,7 @@
         sql: str = '',
         point: Point | None = None,
     ) -> None:
-        """Write one event to the history."""
+        """Append one event to the history."""
         self.history.append(
             Event(
                 read_clock(),
