--- a/src/sedgeshunt/connections/__init__.py
+++ b/src/sedgeshunt/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Lend connections to targets, each to one transaction at a time."""
+"""Pool connections to targets."""
--- a/src/sedgeshunt/connections/idle_sessions.py
+++ b/src/sedgeshunt/connections/idle_sessions.py
@@ -1,4 +1,4 @@
-"""Keep the sessions with a target that nobody uses, and choose among them."""
+"""Keep idle sessions with a target and select one for reuse."""
 
 from collections.abc import Mapping
 
@@ -8,30 +8,30 @@
 
 
 class PooledSession:
-    """Hold a session with what is set and prepared on it."""
+    """Hold a session with its session values and prepared statements."""
 
     def __init__(
         self,
         connection: TargetSession,
         customer: CustomerId,
     ) -> None:
-        """Start as a fresh connection: nothing is set."""
+        """Start as a new connection without session values."""
         self.connection = connection
-        # In whose name it was opened; it serves nobody else.
+        # Customer for which it was opened; it is never used for another one.
         self.customer = customer
         self.values: dict[str, str] = {}
         self.prepared: set[PreparedStatement] = set()
-        # Cleared while an answer is under way: lent again, the next caller
-        # would read it as its own.
+        # False while an answer is pending: if the connection were reused, the
+        # next caller would read that answer as its own.
         self.is_clean = True
-        # What the latest answer said. A session that is given back inside a
-        # transaction, as when its caller left while it waited for its turn,
-        # would run the next caller's statement in there.
+        # Phase as of the latest answer. A session may be released within a
+        # transaction, such as when its caller left while waiting. If reused,
+        # it would run the next caller's statements in that transaction.
         self.phase = SessionPhase.IDLE
 
     @property
     def is_reusable(self) -> bool:
-        """Tell whether another caller may use the session."""
+        """Return whether another caller may use the session."""
         return self.is_clean and self.phase is SessionPhase.IDLE
 
 
@@ -39,15 +39,15 @@
     """Hold idle sessions in the order in which they became idle."""
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Start empty."""
         self._idle: list[PooledSession] = []
 
     def __len__(self) -> int:
-        """Count them."""
+        """Return the number of idle sessions."""
         return len(self._idle)
 
     def add(self, session: PooledSession) -> None:
-        """Keep a session that was given back."""
+        """Add a released session."""
         self._idle.append(session)
 
     def take(
@@ -55,12 +55,12 @@
         values: Mapping[str, str],
         customer: CustomerId,
     ) -> PooledSession | None:
-        """Take a customer's session, None if there is none."""
+        """Remove and return a session of the customer, or None."""
         own = [one for one in self._idle if one.customer == customer]
         if not own:
             return None
-        # The latest one that already has the caller's values saves a round
-        # trip; so does one without any, against one that needs a reset.
+        # Prefer the latest one that already has the caller's values, which
+        # saves a round trip, then one without values, which needs no reset.
         session = max(
             reversed(own),
             key=lambda one: (one.values == values, not one.values),
@@ -68,12 +68,12 @@
         self._idle.remove(session)
         return session
 
-    def take_longest(self) -> PooledSession | None:
-        """Take the one that has been idle longest, whosever it is."""
+    def take_oldest(self) -> PooledSession | None:
+        """Remove and return the session of any customer idle for longest."""
         return self._idle.pop(0) if self._idle else None
 
     def take_all(self) -> list[PooledSession]:
-        """Take all of them."""
+        """Remove and return all sessions."""
         taken = self._idle
         self._idle = []
         return taken
--- a/src/sedgeshunt/connections/pool.py
+++ b/src/sedgeshunt/connections/pool.py
@@ -1,4 +1,4 @@
-"""Lend connections to one target, each to one holder at a time."""
+"""Pool connections to one target."""
 
 from asyncio import timeout_at
 from types import TracebackType
@@ -21,12 +21,12 @@
 
 
 class AcquiredConnection:
-    """Give one holder the sole use of a connection until it is returned."""
+    """Provide exclusive use of a pooled connection until it is released."""
 
     def __init__(
         self, pool: 'TargetPool', connection: TargetConnection
     ) -> None:
-        """Hold `connection` on behalf of `pool`."""
+        """Use `connection`, to be released to `pool`."""
         self._pool = pool
         self._connection = connection
         self._clean = True
@@ -34,19 +34,19 @@
 
     @property
     def target(self) -> TargetId:
-        """Name the target that the connection leads to."""
+        """Return the target of the connection."""
         return self._pool.target
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether the connection's state is known to be good."""
+        """Return whether the connection is in a known state and reusable."""
         return self._clean
 
     async def execute(self, sql: str) -> Answer:
-        """Run `sql`; raise as TargetConnection.execute does."""
-        # Anything but a whole answer or the target's own refusal leaves an
-        # answer under way. Lent again, the next caller would read it as its
-        # own; so the connection is marked first and cleared at the end.
+        """Run `sql`; raise the same errors as TargetConnection.execute."""
+        # Unless a complete answer or an error of the target arrives, an answer
+        # may still be pending, and the next caller would read it as its own.
+        # So the connection is marked as unusable until the answer is complete.
         self._clean = False
         try:
             answer = await self._connection.execute(sql)
@@ -57,18 +57,18 @@
         return answer
 
     def invalidate(self) -> None:
-        """Mark the connection as unfit to be lent again."""
+        """Prevent the connection from being reused."""
         self._clean = False
 
     async def release(self) -> None:
-        """Return the connection, or close it when its state is in doubt."""
+        """Return the connection to the pool, which closes it if not clean."""
         if self._returned:
             return
         self._returned = True
         await self._pool.take_released(self._connection, is_clean=self._clean)
 
     async def __aenter__(self) -> 'AcquiredConnection':
-        """Enter the use of the connection."""
+        """Return the acquired connection."""
         return self
 
     async def __aexit__(
@@ -77,12 +77,12 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Return the connection."""
+        """Release the connection."""
         await self.release()
 
 
 class TargetPool:
-    """Keep at most a share of connections to one target."""
+    """Pool connections to one target, up to the proxy's share."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         group: GroupId,
         share: int,
     ) -> None:
-        """Open no connection before the first loan."""
+        """Start without connections; they are opened on demand."""
         self.target = target
         self.share = share
         self._connector = connector
@@ -100,19 +100,19 @@
         self._group = group
         self._idle: list[TargetConnection] = []
         self._open = 0
-        self._turns = WaitQueue()
+        self._wait_queue = WaitQueue()
         self._closed = False
 
     def acquire_idle(self) -> AcquiredConnection | None:
-        """Lend an idle connection if there is one and nobody waits."""
-        if self._turns or not self._idle:
+        """Acquire an idle connection; None if there is none or others wait."""
+        if self._wait_queue or not self._idle:
             return None
         return AcquiredConnection(self, self._idle.pop())
 
     async def acquire(
         self, deadline: Monotonic
     ) -> Result[AcquiredConnection, NotRun]:
-        """Lend a connection, waiting for one until `deadline` at most."""
+        """Acquire a connection, waiting until `deadline` at most."""
         try:
             async with timeout_at(deadline):
                 return Ok(await self._acquire())
@@ -132,35 +132,35 @@
         *,
         is_clean: bool,
     ) -> None:
-        """Keep a clean connection within the share, close any other."""
+        """Keep a clean connection within the share; close any other."""
         keep = is_clean and not self._closed and self._open <= self.share
         if keep:
             self._idle.append(connection)
         else:
             self._open -= 1
-        self._turns.wake_one()
+        self._wait_queue.wake_one()
         if not keep:
             await connection.close()
 
     async def resize(self, share: int) -> None:
-        """Change the share; surplus connections close once they are idle."""
+        """Change the share; surplus connections close when they are idle."""
         self.share = share
         while self._idle and self._open > share:
             self._open -= 1
             await self._idle.pop().close()
-        self._turns.wake_one()
+        self._wait_queue.wake_one()
 
     async def drop_idle(self) -> None:
-        """Close the idle connections, whose target is gone or replaced."""
+        """Close the idle connections to an unreachable or replaced target."""
         dropped = self._idle
         self._idle = []
         self._open -= len(dropped)
         for connection in dropped:
             await connection.close()
-        self._turns.wake_one()
+        self._wait_queue.wake_one()
 
     async def close(self) -> None:
-        """Close idle connections now and lent ones when they come back."""
+        """Close idle connections now and others when they are released."""
         self._closed = True
         await self.drop_idle()
 
@@ -173,11 +173,11 @@
                 return AcquiredConnection(self, self._idle.pop())
             if self._open < self.share:
                 return AcquiredConnection(self, await self._connect())
-            await self._turns.wait()
+            await self._wait_queue.wait()
 
     async def _connect(self) -> TargetConnection:
-        # Counted before it is opened: two callers at once would otherwise
-        # both see room for one, and the target's limit be overrun.
+        # Counted before it is opened. Otherwise two concurrent callers could
+        # both find room for one connection and exceed the target's limit.
         self._open += 1
         try:
             return await self._connector.connect(
@@ -187,5 +187,5 @@
             )
         except BaseException:
             self._open -= 1
-            self._turns.wake_one()
+            self._wait_queue.wake_one()
             raise
--- a/src/sedgeshunt/connections/seats.py
+++ b/src/sedgeshunt/connections/seats.py
@@ -1,4 +1,4 @@
-"""Hold one of the numbered seats that entitle a proxy to a full share."""
+"""Claim one of the numbered seats that entitle a proxy to a full share."""
 
 from asyncio import sleep, timeout
 from collections.abc import Callable
@@ -12,17 +12,17 @@
 
 PREFIX = '/sedgeshunt/seats/'
 LEASE_TTL = Seconds(30)
-RENEW_EVERY = Seconds(10)
-# The holder gives up its share this long before its lease can lapse.
+RENEW_INTERVAL = Seconds(10)
+# The holder gives up its share this long before its lease can expire.
 LAPSE_MARGIN = Seconds(5)
-RETRY_EVERY = Seconds(1)
+RETRY_INTERVAL = Seconds(1)
 CALL_TIMEOUT = Seconds(2)
 RELEASE_TIMEOUT = Seconds(1)
-TRIES_A_SECOND = 100
+FLEET_TRIES_PER_SECOND = 100
 
 
 class SeatHolder:
-    """Take a seat, keep its lease and give the share up in time."""
+    """Claim a seat, renew its lease and give up the share in time."""
 
     def __init__(
         self,
@@ -45,19 +45,20 @@
         self._random = Random(str(proxy))
 
     def is_seated(self) -> bool:
-        """Tell whether the seat still holds at this moment."""
-        # A paused holder wakes while a rival already has its seat; the
-        # reading is taken at the moment of use, so it opens nothing more.
+        """Return whether the seat is held at this moment."""
+        # After a pause of this process, another proxy may already hold the
+        # seat. The clock is read on each call so that no more connections are
+        # opened then.
         return self.number is not None and read_clock() < self._valid_until
 
     async def run(self) -> None:
-        """Take and renew a seat until cancelled."""
+        """Claim and renew a seat until cancelled."""
         while True:
             was_seated = self.is_seated()
-            asked_at = read_clock()
+            requested_at = read_clock()
             try:
                 async with timeout(CALL_TIMEOUT):
-                    await self._step(asked_at)
+                    await self._step(requested_at)
             except (PlatformUnavailable, AnswerLost) as error:
                 self._note_outage(error.format_message(), was_seated=was_seated)
             except TimeoutError:
@@ -66,7 +67,7 @@
             await sleep(pause * self._random.uniform(0.8, 1.2))
 
     async def release(self) -> None:
-        """Give the seat back at once, so that a successor need not wait."""
+        """Release the seat at once, so that a successor need not wait."""
         lease = self._lease
         self._lease = None
         self.number = None
@@ -76,30 +77,30 @@
             async with timeout(RELEASE_TIMEOUT):
                 await self._platform.revoke_lease(lease)
         except (PlatformUnavailable, AnswerLost, TimeoutError):
-            # The lease lapses by itself; the successor waits a little.
+            # The lease expires by itself; the successor waits until then.
             return
 
     def _find_pause(self) -> float:
         if self._is_waiting or self.is_seated():
-            return RENEW_EVERY
-        # After an outage the whole fleet asks at once; spread out, its tries
-        # stay within the service's rates, and only the share waits.
-        return max(RETRY_EVERY, self.fleet / TRIES_A_SECOND)
+            return RENEW_INTERVAL
+        # After an outage, all proxies retry at the same time. Spreading their
+        # tries keeps the service below its rate limits; only the share is late.
+        return max(RETRY_INTERVAL, self.fleet / FLEET_TRIES_PER_SECOND)
 
-    async def _step(self, asked_at: Monotonic) -> None:
+    async def _step(self, requested_at: Monotonic) -> None:
         if self._lease is None:
             self._lease = await self._platform.grant_lease(LEASE_TTL)
         elif not await self._platform.keep_lease(self._lease):
             self._lose('the lease lapsed')
             return
-        self._extend(asked_at)
+        self._extend_validity(requested_at)
         if self.number is None:
             await self._take(self._lease)
 
-    def _extend(self, asked_at: Monotonic) -> None:
-        # Counted from before the call: the service may have renewed at any
-        # moment after it, never before.
-        self._valid_until = Monotonic(asked_at + LEASE_TTL - LAPSE_MARGIN)
+    def _extend_validity(self, requested_at: Monotonic) -> None:
+        # Counted from before the request, as the service may renew the lease
+        # at any moment after it but never before.
+        self._valid_until = Monotonic(requested_at + LEASE_TTL - LAPSE_MARGIN)
 
     async def _take(self, lease: int) -> None:
         self._is_waiting = False
@@ -111,10 +112,10 @@
                 continue
             if await self._claim(key, lease):
                 self.number = number
-                self._tell(DecisionKind.SEAT_TAKEN, f'seat {number}')
+                self._record_decision(DecisionKind.SEAT_TAKEN, f'seat {number}')
                 return
-        # All are taken: asking each second would change nothing but the
-        # service's load.
+        # All seats are taken: asking each second would only add load to the
+        # service.
         self._is_waiting = 0 < self.seats <= len(taken)
 
     async def _claim(self, key: str, lease: int) -> bool:
@@ -130,17 +131,17 @@
         if self.number is None:
             return
         self.number = None
-        self._tell(DecisionKind.SEAT_LOST, reason)
+        self._record_decision(DecisionKind.SEAT_LOST, reason)
 
     def _note_outage(self, reason: str, *, was_seated: bool) -> None:
-        # An answer lost to a claim leaves a seat bound to our lease that we
-        # do not know of. Without a number the lease is dropped, so that the
-        # seat frees itself rather than staying taken by nobody.
+        # If the answer to a claim was lost, a seat may be bound to the lease
+        # without being known here. Without a seat number the lease is not
+        # renewed, so that such a seat becomes free when the lease expires.
         if self.number is None:
             self._lease = None
         if was_seated and not self.is_seated():
             self._lose(reason)
 
-    def _tell(self, kind: DecisionKind, reason: str) -> None:
+    def _record_decision(self, kind: DecisionKind, reason: str) -> None:
         self._decisions.record(Decision(kind, reasons={'why': reason}))
         self._on_change()
--- a/src/sedgeshunt/connections/session_pool.py
+++ b/src/sedgeshunt/connections/session_pool.py
@@ -1,4 +1,4 @@
-"""Lend sessions with one target, each to one caller at a time."""
+"""Pool sessions with one target."""
 
 from asyncio import (
     CancelledError,
@@ -31,24 +31,24 @@
 from sedgeshunt.limits.average import MovingAverage
 from sedgeshunt.requests.outcome import Cause, NotRun
 
-# A new connection takes 12 ms and waits for a slot; more than this is a
-# target that does not answer.
+# Opening a connection takes about 12 ms plus the wait for a slot. A target that
+# exceeds this limit does not answer.
 CONNECT_TIMEOUT = Seconds(0.4)
-# Share of the time left that may go by before a connection is lent, as for a
-# place at the target (limits/admission.py): what waits longer comes too late.
-SHARE_FOR_WAIT = 0.5
-# A target that takes no more connections is asked for more after so long:
-# others close theirs as soon as the store tells them of a promotion, within
-# some tens of milliseconds.
-CROWDED_TIME = Seconds(0.2)
-# Weight of the latest loan in the usual time of one.
-HOLDING_WEIGHT = 0.1
+# Share of the remaining time that may be spent on the wait for a connection, as
+# for admission (limits/admission.py). A longer wait leaves too little time.
+MAX_WAIT_SHARE = 0.5
+# Delay before more connections are requested from a target that refused one.
+# After a promotion, other proxies close theirs as soon as the store notifies
+# them, within some tens of milliseconds.
+FULL_TARGET_PAUSE = Seconds(0.2)
+# Weight of the latest sample in the averages of use and wait times.
+AVERAGE_WEIGHT = 0.1
 BUSY_RETRY = Seconds(0.05)
 UNREACHABLE_RETRY = Seconds(0.2)
 
 
 class AcquiredSession:
-    """Give one holder the sole use of a session until it is returned."""
+    """Provide exclusive use of a pooled session until it is released."""
 
     def __init__(
         self,
@@ -57,21 +57,21 @@
         *,
         is_transaction: bool,
     ) -> None:
-        """Hold `session` on behalf of `pool`."""
+        """Use `session`, to be released to `pool`."""
         self.session = session
         self.is_transaction = is_transaction
-        self.lent_at = read_clock()
+        self.acquired_at = read_clock()
         self._pool = pool
         self._is_returned = False
 
     async def release(self) -> None:
-        """Return the session, or close it when its state is in doubt."""
+        """Return the session to the pool, which closes it if not reusable."""
         if not self._is_returned:
             self._is_returned = True
             await self._pool.take_released(self)
 
     async def __aenter__(self) -> 'AcquiredSession':
-        """Enter the use of the session."""
+        """Return the acquired session."""
         return self
 
     async def __aexit__(
@@ -80,83 +80,85 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Return the session."""
+        """Release the session."""
         await self.release()
 
 
 class LogCheck(ABC):
-    """Know whether a target has kept its log."""
+    """Detect whether a target has lost part of its log."""
 
-    # The newest end of the target's log that its answers showed.
+    # The newest log end that the target's answers have shown.
     shown: Point | None
 
     @abstractmethod
     def has_kept_log(self, seen: Point | None, session: TargetSession) -> bool:
-        """Tell whether a new session's log has what was `seen` before it."""
+        """Return whether the log of a new session covers the `seen` point."""
 
 
 class SessionPool:
-    """Keep at most a share of sessions with one target."""
+    """Pool sessions with one target, up to the proxy's share."""
 
     def __init__(
         self,
         connector: TargetSessionConnector,
         target: Target,
         share: int,
-        at_once: int,
-        life: LogCheck,
+        concurrency: int,
+        log_check: LogCheck,
     ) -> None:
-        """Open no connection before the first loan."""
+        """Start without connections; they are opened on demand."""
         self.target = target
         self.share = share
-        self._at_once = at_once
-        self._life = life
+        self._concurrency = concurrency
+        self._log_check = log_check
         self._in_transactions = 0
-        # The target takes no more connections until then than were open.
-        self._crowded_until = Monotonic(0)
-        self._crowded_share = share
-        # How long loans last, those to transactions apart.
-        self._holding = {
-            is_transaction: MovingAverage(HOLDING_WEIGHT)
+        # Until then, at most _full_limit connections are open to the target.
+        self._full_until = Monotonic(0)
+        self._full_limit = share
+        # Average time in use, for single statements and for transactions.
+        self._use_times = {
+            is_transaction: MovingAverage(AVERAGE_WEIGHT)
             for is_transaction in (False, True)
         }
         self._connector = connector
         self._idle = IdleSessions()
         self._open = 0
-        self._turns = WaitQueue()
-        # Connections that each customer's calls have now.
-        self._lent_to: Counter[CustomerId] = Counter()
-        # Connections that were opened, since the pool was made.
+        self._wait_queue = WaitQueue()
+        # Number of connections in use by each customer.
+        self._acquired_by: Counter[CustomerId] = Counter()
+        # Number of connections opened by this pool.
         self.opened = 0
-        # How long callers usually wait for one.
-        self.wait = MovingAverage(HOLDING_WEIGHT)
+        # Average wait for a connection.
+        self.wait = MovingAverage(AVERAGE_WEIGHT)
         self._opening: set[Task[TargetSession]] = set()
         self._is_closed = False
 
     @property
     def open_count(self) -> int:
-        """Count the connections that are open or being opened."""
+        """Return the number of connections that are open or being opened."""
         return self._open
 
     @property
     def acquired_count(self) -> int:
-        """Count the connections that are lent or being opened."""
+        """Return the number of connections in use or being opened."""
         return self._open - len(self._idle)
 
     def has_room(self, *, is_transaction: bool) -> bool:
-        """Tell whether a session could be lent without a wait for others."""
-        if is_transaction and self._in_transactions >= self._transaction_room:
+        """Return whether a session could be acquired without waiting."""
+        if is_transaction and self._in_transactions >= self._transaction_limit:
             return False
-        return bool(self._idle) or self._open < self._most_open
+        return bool(self._idle) or self._open < self._open_limit
 
     def expected_wait(self, *, is_transaction: bool) -> Seconds:
-        """Return how long a new loan would wait for those before it."""
+        """Return how long a new caller would wait for a session."""
         if self.has_room(is_transaction=is_transaction):
             return Seconds(0)
-        ahead = len(self._turns) + 1
-        hands = self._transaction_room if is_transaction else self.share
-        usual = self._holding[is_transaction].value
-        return Seconds(ahead * usual / max(1, hands))
+        ahead = len(self._wait_queue) + 1
+        connection_count = (
+            self._transaction_limit if is_transaction else self.share
+        )
+        average = self._use_times[is_transaction].value
+        return Seconds(ahead * average / max(1, connection_count))
 
     async def acquire(
         self,
@@ -167,21 +169,21 @@
         is_transaction: bool = False,
         due: Monotonic | None = None,
     ) -> Result[AcquiredSession, NotRun]:
-        """Lend a customer's session, best one with `values`.
+        """Acquire a session of a customer, preferably one with `values`.
 
-        Refuse at once where the answer could not be there when it is `due`.
+        Refuse at once if the answer could not arrive by `due`.
         """
         wait = self.expected_wait(is_transaction=is_transaction)
         left = (due or deadline) - read_clock()
-        if wait > left * SHARE_FOR_WAIT:
+        if wait > left * MAX_WAIT_SHARE:
             reason = f'its connections are lent out for about {wait:.3f} s'
             return Err(self._refuse(Cause.OVERLOAD, reason, wait))
-        came_at = read_clock()
+        started_at = read_clock()
         try:
             async with timeout_at(deadline):
-                loan = await self._acquire(values, customer, is_transaction)
-            self.wait.add(read_clock() - came_at)
-            return Ok(loan)
+                acquired = await self._acquire(values, customer, is_transaction)
+            self.wait.add(read_clock() - started_at)
+            return Ok(acquired)
         except TimeoutError:
             return Err(self._refuse(Cause.DEADLINE, 'no connection was free'))
         except TargetBusy as busy:
@@ -197,13 +199,13 @@
                 ),
             )
 
-    async def take_released(self, loan: AcquiredSession) -> None:
-        """Keep a clean session within the share, close any other."""
-        session = loan.session
-        self._in_transactions -= loan.is_transaction
-        self._lent_to[session.customer] -= 1
-        held = read_clock() - loan.lent_at
-        self._holding[loan.is_transaction].add(held)
+    async def take_released(self, acquired: AcquiredSession) -> None:
+        """Keep a reusable session within the share; close any other."""
+        session = acquired.session
+        self._in_transactions -= acquired.is_transaction
+        self._acquired_by[session.customer] -= 1
+        use_time = read_clock() - acquired.acquired_at
+        self._use_times[acquired.is_transaction].add(use_time)
         keep = (
             session.is_reusable
             and not self._is_closed
@@ -213,40 +215,41 @@
             self._idle.add(session)
         else:
             self._open -= 1
-        self._turns.wake_one()
+        self._wait_queue.wake_one()
         if not keep:
             await session.connection.close()
 
     async def drop_idle(self) -> None:
-        """Close the idle sessions, whose target is gone or replaced."""
-        dropped = self._idle.take_all()
-        self._open -= len(dropped)
-        for session in dropped:
+        """Close the idle sessions with an unreachable or replaced target."""
+        closed = self._idle.take_all()
+        self._open -= len(closed)
+        for session in closed:
             await session.connection.close()
-        self._turns.wake_one()
+        self._wait_queue.wake_one()
 
     async def close(self) -> None:
-        """Close idle sessions now and lent ones when they come back."""
+        """Close idle sessions now and others when they are released."""
         self._is_closed = True
-        # Who waits for a connection to what is given up would wait in vain.
+        # Callers would otherwise wait for connections that are never opened.
         for opening in tuple(self._opening):
             opening.cancel()
-        self._turns.wake_all()
+        self._wait_queue.wake_all()
         await self.drop_idle()
 
     def resize(self, share: int) -> None:
         """Change how many connections may be open."""
         self.share = share
-        self._turns.wake_one()
+        self._wait_queue.wake_one()
 
     @property
-    def _transaction_room(self) -> int:
-        # Transactions keep their connections while their callers think. With
-        # all of them lent so, single statements took the target's places and
-        # waited for connections, transactions kept these and waited for
-        # places: an overload that went on by itself for seconds after its
-        # cause. As many as the target takes at once are kept for the former.
-        return max(1, self.share - min(self._at_once, self.share // 2))
+    def _transaction_limit(self) -> int:
+        # Transactions hold connections while their callers are idle. If they
+        # held all of them, admitted statements would wait for connections and
+        # transactions with connections would wait for admission: an overload
+        # that sustained itself for seconds after its cause had ended. So as
+        # many connections as the target's concurrency are reserved for single
+        # statements.
+        return max(1, self.share - min(self._concurrency, self.share // 2))
 
     def _refuse(
         self,
@@ -266,8 +269,8 @@
     ) -> AcquiredSession:
         while True:
             await self._wait_room(is_transaction, customer)
-            # Counted before it is opened: two callers at once would otherwise
-            # both see room for one, and the target's limit be overrun.
+            # Counted before it is opened. Otherwise two concurrent callers
+            # could both find room for one and exceed the target's limit.
             self._in_transactions += is_transaction
             try:
                 session = await self._take(values, customer)
@@ -275,12 +278,12 @@
                 self._in_transactions -= is_transaction
                 if not self._open:
                     raise
-                self._note_crowd()
+                self._note_full_target()
             except BaseException:
                 self._in_transactions -= is_transaction
                 raise
             else:
-                self._lent_to[customer] += 1
+                self._acquired_by[customer] += 1
                 return AcquiredSession(
                     self, session, is_transaction=is_transaction
                 )
@@ -290,16 +293,16 @@
         is_transaction: bool,
         customer: CustomerId,
     ) -> None:
-        may_go = partial(self.has_room, is_transaction=is_transaction)
-        # One customer's storm would else have all others wait behind it.
-        measure = partial(self._lent_to.__getitem__, customer)
-        if self._turns.has_ready():
-            # Who comes now would overtake those who wait.
-            await self._turns.wait(may_go, measure)
-        while not (self._is_closed or may_go()):
-            await self._turns.wait(may_go, measure)
+        is_ready = partial(self.has_room, is_transaction=is_transaction)
+        # Otherwise a burst of one customer would delay all other customers.
+        priority = partial(self._acquired_by.__getitem__, customer)
+        if self._wait_queue.has_ready():
+            # A new caller must not overtake those that wait already.
+            await self._wait_queue.wait(is_ready, priority)
+        while not (self._is_closed or is_ready()):
+            await self._wait_queue.wait(is_ready, priority)
         if self._is_closed:
-            raise self._describe_end()
+            raise self._make_closed_error()
 
     async def _take(
         self,
@@ -308,41 +311,44 @@
     ) -> PooledSession:
         session = self._idle.take(values, customer)
         if session is not None:
-            self._turns.wake_one()
+            self._wait_queue.wake_one()
             return session
-        if self._open >= self._most_open:
-            await self._close_longest_idle()
+        if self._open >= self._open_limit:
+            await self._close_oldest_idle()
         return await self._connect(customer)
 
-    async def _close_longest_idle(self) -> None:
-        # Closed before its successor is opened, on the same way: the target
-        # never has more than the share of them.
-        session = self._idle.take_longest()
+    async def _close_oldest_idle(self) -> None:
+        # Closed before its replacement is opened, over the same path, so that
+        # the target never has more connections than the share.
+        session = self._idle.take_oldest()
         if session is not None:
             self._open -= 1
             await session.connection.close()
 
     @property
-    def _most_open(self) -> int:
-        if read_clock() < self._crowded_until:
-            return min(self.share, self._crowded_share)
+    def _open_limit(self) -> int:
+        if read_clock() < self._full_until:
+            return min(self.share, self._full_limit)
         return self.share
 
-    def _note_crowd(self) -> None:
-        # Others still hold connections that they are about to give up, as those
-        # who read from a target that has just been promoted. Asked for more, it
-        # refuses each caller; those that are open serve them one after another.
-        self._crowded_share = self._open
-        self._crowded_until = Monotonic(read_clock() + CROWDED_TIME)
-        get_running_loop().call_later(CROWDED_TIME, self._turns.wake_one)
+    def _note_full_target(self) -> None:
+        # Other proxies still hold connections that they are about to close,
+        # such as those that read from a target before its promotion. The
+        # target would refuse further connections to all callers, so they share
+        # the open ones.
+        self._full_limit = self._open
+        self._full_until = Monotonic(read_clock() + FULL_TARGET_PAUSE)
+        get_running_loop().call_later(
+            FULL_TARGET_PAUSE, self._wait_queue.wake_one
+        )
 
     async def _connect(self, customer: CustomerId) -> PooledSession:
         self.opened += 1
         self._open += 1
-        # Room that came for several at once, as at the end of a crowd, is told
-        # to one; without passing it on, the rest would wait for returns, and
-        # those who come wait behind them, with connections unused.
-        self._turns.wake_one()
+        # When several connections become available at once, such as after a
+        # pause for a full target, only one caller is woken. Without waking
+        # the next one here, the others would wait while connections are free.
+        self._wait_queue.wake_one()
         opening = create_task(
             self._connector.connect(
                 self.target,
@@ -352,34 +358,34 @@
             ),
         )
         self._opening.add(opening)
-        seen = self._life.shown
+        seen = self._log_check.shown
         try:
             connection = await opening
-            if not self._life.has_kept_log(seen, connection):
+            if not self._log_check.has_kept_log(seen, connection):
                 await connection.close()
                 raise TargetUnreachable(self.target.name, 'it has lost its log')
             return PooledSession(connection, customer)
         except BaseException as failure:
             self._open -= 1
-            self._turns.wake_one()
+            self._wait_queue.wake_one()
             opening.add_done_callback(_close_unused)
             if isinstance(failure, CancelledError) and not _is_cancelled():
-                raise self._describe_end() from failure
+                raise self._make_closed_error() from failure
             raise
         finally:
             self._opening.discard(opening)
 
-    def _describe_end(self) -> TargetUnreachable:
+    def _make_closed_error(self) -> TargetUnreachable:
         return TargetUnreachable(self.target.name, 'it was given up')
 
 
 def _is_cancelled() -> bool:
-    """Tell whether the running task itself is to end."""
+    """Return whether the running task itself is cancelled."""
     task = current_task()
     return task is not None and task.cancelling() > 0
 
 
 def _close_unused(opening: Task[TargetSession]) -> None:
-    # It may have been opened in the very moment in which its caller left.
+    # The connection may have been opened just when its caller left.
     if not opening.cancelled() and opening.exception() is None:
         get_running_loop().create_task(opening.result().close())
--- a/src/sedgeshunt/connections/shares.py
+++ b/src/sedgeshunt/connections/shares.py
@@ -1,23 +1,23 @@
-"""Share a target's connections out among proxies without asking anyone."""
+"""Divide a target's connections among proxies without coordination."""
 
 from dataclasses import dataclass
 
-# Connections of a proxy that holds no seat: one for control, one for work.
+# Connections of a proxy without a seat: one for control, one for statements.
 UNSEATED_PROXY_CONNECTIONS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Hold how many working connections to one target a proxy may open."""
+    """Hold the number of pooled connections to a target, by seat."""
 
     seated: int
     unseated: int = 1
 
 
 def compute_share(connection_limit: int, seats: int) -> Share:
-    """Split a target's limit into equal shares that never sum above it."""
-    # Each seated proxy also keeps one control connection, and room is left
-    # for one newcomer, so that a replaced instance can serve at once, before
-    # the seat of the one it replaces has lapsed.
+    """Divide a target's limit into equal shares whose sum stays within it."""
+    # Each seated proxy also keeps one control connection. Connections of one
+    # unseated proxy are reserved so that a replacement instance can serve at
+    # once, before the seat of its predecessor has expired.
     usable = connection_limit - seats - UNSEATED_PROXY_CONNECTIONS
     return Share(seated=max(1, usable // max(1, seats)))
--- a/src/sedgeshunt/connections/target_session.py
+++ b/src/sedgeshunt/connections/target_session.py
@@ -1,4 +1,4 @@
-"""Define a connection to a target that keeps a session's state."""
+"""Define the interface of sessions with targets."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
@@ -19,16 +19,16 @@
 
 
 class SessionPhase(Enum):
-    """Tell whether a session is inside a transaction."""
+    """Enumerate the transaction states of a session."""
 
     IDLE = 'idle'
     OPEN = 'open'
-    # The transaction failed; ending it undoes it.
+    # The transaction failed; ending it rolls it back.
     FAILED = 'failed'
 
 
 class RefusalKind(Enum):
-    """Name a target's own refusals; the first group proves that none ran."""
+    """Enumerate refusals of a target; the first group proves no effect."""
 
     BUSY = 'busy'
     NO_STATEMENT = 'no-statement'
@@ -43,7 +43,7 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Tell whether the statement surely had no effect."""
+        """Return whether the statement certainly had no effect."""
         return self not in _MAY_HAVE_RUN
 
 
@@ -53,47 +53,47 @@
 
 
 class TargetRefusal(Struct, frozen=True):
-    """Hold why a target did not answer with success."""
+    """Hold why a target refused or failed a statement."""
 
     kind: RefusalKind
     reason: str
 
 
 class TargetReply(Struct, frozen=True):
-    """Hold a target's whole answer to one statement."""
+    """Hold the complete answer of a target to one statement."""
 
     rows: tuple[str, ...]
     phase: SessionPhase
-    # The end of the target's log; None where it shows none.
+    # Log end of the target; None if the answer contains none.
     point: Point | None
     signature: str = ''
     refusal: TargetRefusal | None = None
 
 
 class LogRole(Enum):
-    """Name the part that a target plays, as it says itself."""
+    """Enumerate the replication roles that a target reports."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
 
 
 class LogStatus(Struct, frozen=True):
-    """Hold what a target says of its log when asked."""
+    """Hold the state of its log that a target reports."""
 
     role: LogRole
-    # The term of its log's end.
+    # Term of its log end.
     term: Term
-    # The end of what it has received, applied or not.
+    # End of the received log, whether applied or not.
     received: Point
-    # A replica that is paused takes nothing of lower terms.
+    # A paused replica accepts no records of lower terms.
     held_term: Term
 
 
 class TargetSession(ABC):
-    """Run statements on one connection; one caller at a time.
+    """Run statements on one connection, for one caller at a time.
 
-    Each call may raise TargetGone (nothing was sent) or TargetLost (it was
-    sent, and no whole answer came).
+    Each method may raise TargetGone (nothing was sent) or TargetLost (the
+    request was sent, but no complete answer arrived).
     """
 
     point: Point | None
@@ -105,7 +105,7 @@
         text: str,
         after: Point | None = None,
     ) -> TargetReply:
-        """Run a caller's own text under its id."""
+        """Run the text of a caller's statement under its statement id."""
 
     @abstractmethod
     async def execute(
@@ -115,11 +115,11 @@
         arguments: str,
         after: Point | None = None,
     ) -> TargetReply:
-        """Run what was prepared on this connection."""
+        """Run a statement that was prepared on this connection."""
 
     @abstractmethod
     async def prepare(self, prepared: PreparedStatement) -> TargetReply:
-        """Prepare a statement under a name of this connection's own."""
+        """Prepare a statement under a name specific to this connection."""
 
     @abstractmethod
     async def set_value(self, name: str, value: str) -> TargetReply:
@@ -127,7 +127,7 @@
 
     @abstractmethod
     async def reset(self) -> TargetReply:
-        """Drop all session values and prepared statements."""
+        """Clear all session values and prepared statements."""
 
     @abstractmethod
     async def begin(
@@ -140,27 +140,27 @@
 
     @abstractmethod
     async def roll_back(self) -> TargetReply:
-        """Undo the open transaction."""
+        """Roll back the open transaction."""
 
     @abstractmethod
     async def read_status(self) -> LogStatus | None:
-        """Ask for the log's state; None when the target is too busy."""
+        """Return the state of the log; None if the target is too busy."""
 
     @abstractmethod
     async def pause_replication(self, term: Term) -> LogStatus | None:
-        """Stop a replica from receiving, for a `term` above the newest."""
+        """Stop a replica from receiving; `term` must exceed the newest one."""
 
     @abstractmethod
     async def resume_replication(self) -> LogStatus | None:
-        """Let a paused replica receive again."""
+        """Let a paused replica receive the log again."""
 
     @abstractmethod
     async def demote(self, term: Term) -> LogStatus | None:
-        """Make a primary of a lower term a replica."""
+        """Demote a primary of a lower term to a replica."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Drop the connection at once; closing twice does no harm."""
+        """Close the connection at once; closing again has no effect."""
 
 
 class TargetSessionConnector(ABC):
@@ -174,7 +174,7 @@
         limit: Seconds,
         customer: CustomerId = NOBODY,
     ) -> TargetSession:
-        """Open a session in a customer's name.
+        """Open a session on behalf of a customer.
 
         Raise TargetUnreachable or TargetBusy.
         """
--- a/src/sedgeshunt/connections/wait_queue.py
+++ b/src/sedgeshunt/connections/wait_queue.py
@@ -1,4 +1,4 @@
-"""Let those who wait for a connection go on, who has least first."""
+"""Queue callers that wait for a connection, by priority."""
 
 from asyncio import CancelledError, Future, get_running_loop
 from collections import deque
@@ -7,88 +7,88 @@
 from msgspec import Struct
 
 IsReady = Callable[[], bool]
-# Tells how much the one who waits has already: the less, the sooner its turn.
-Measure = Callable[[], int]
+# Returns how many connections a waiter already has; the lowest goes first.
+Priority = Callable[[], int]
 
 
 class _Waiter(Struct, frozen=True, eq=False):
-    """Hold one who waits."""
+    """Hold one waiting caller."""
 
-    turn: 'Future[None]'
+    future: 'Future[None]'
     is_ready: IsReady
-    measure: Measure
+    priority: Priority
 
 
 def _is_always_ready() -> bool:
     return True
 
 
-def _has_nothing() -> int:
+def _return_zero() -> int:
     return 0
 
 
 class WaitQueue:
-    """Hold those who wait, and wake one at a time."""
+    """Queue waiting callers and wake them one at a time."""
 
     def __init__(self) -> None:
-        """Start with nobody."""
+        """Start empty."""
         self._waiters: deque[_Waiter] = deque()
 
     def __bool__(self) -> bool:
-        """Tell whether anybody waits."""
+        """Return whether any caller waits."""
         return bool(self._waiters)
 
     def __len__(self) -> int:
-        """Count those who wait."""
+        """Return the number of waiting callers."""
         return len(self._waiters)
 
     def has_ready(self) -> bool:
-        """Tell whether anybody waits who could go on now."""
-        return any(waiting.is_ready() for waiting in self._waiters)
+        """Return whether any waiting caller could proceed now."""
+        return any(waiter.is_ready() for waiter in self._waiters)
 
     async def wait(
         self,
         is_ready: IsReady = _is_always_ready,
-        measure: Measure = _has_nothing,
+        priority: Priority = _return_zero,
     ) -> None:
-        """Wait until woken, which happens only while `is_ready`."""
-        turn: Future[None] = get_running_loop().create_future()
-        waiting = _Waiter(turn, is_ready, measure)
-        self._waiters.append(waiting)
+        """Wait until woken, which wake_one does only while `is_ready()`."""
+        future: Future[None] = get_running_loop().create_future()
+        waiter = _Waiter(future, is_ready, priority)
+        self._waiters.append(waiter)
         try:
-            await turn
+            await future
         except CancelledError:
-            if not turn.done() or turn.cancelled():
-                self._forget(waiting)
+            if not future.done() or future.cancelled():
+                self._forget(waiter)
                 raise
-            # A turn that was granted to a caller that has just given up
-            # goes to the next one, who would else wait for nothing.
+            # The caller was woken but has been cancelled, so the next one is
+            # woken instead of waiting in vain.
             self.wake_one()
             raise
 
     def wake_one(self) -> None:
-        """Wake who has least of those who can go on, the first of several."""
+        """Wake the ready caller that has least; the first one of several."""
         ready = (
             one
             for one in self._waiters
-            if not one.turn.done() and one.is_ready()
+            if not one.future.done() and one.is_ready()
         )
-        chosen = min(ready, key=_measure, default=None)
+        chosen = min(ready, key=_get_priority, default=None)
         if chosen is not None:
             self._forget(chosen)
-            chosen.turn.set_result(None)
+            chosen.future.set_result(None)
 
     def wake_all(self) -> None:
-        """Wake everybody."""
+        """Wake all waiting callers."""
         while self._waiters:
-            turn = self._waiters.popleft().turn
-            if not turn.done():
-                turn.set_result(None)
+            future = self._waiters.popleft().future
+            if not future.done():
+                future.set_result(None)
 
-    def _forget(self, waiting: _Waiter) -> None:
-        if waiting in self._waiters:
-            self._waiters.remove(waiting)
+    def _forget(self, waiter: _Waiter) -> None:
+        if waiter in self._waiters:
+            self._waiters.remove(waiter)
 
 
-def _measure(waiting: _Waiter) -> int:
-    return waiting.measure()
+def _get_priority(waiter: _Waiter) -> int:
+    return waiter.priority()
