--- a/src/sedgeshunt/sessions/__init__.py
+++ b/src/sedgeshunt/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what a session has seen, in a token that its caller carries."""
+"""Track what a session must read and encode it in session tokens."""
--- a/src/sedgeshunt/sessions/token.py
+++ b/src/sedgeshunt/sessions/token.py
@@ -1,4 +1,4 @@
-"""Sign the points that a session must see, for its caller to carry."""
+"""Sign and verify session tokens, which hold the points of a session."""
 
 from base64 import b64decode, urlsafe_b64encode
 from collections.abc import Mapping, Sequence
@@ -43,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SigningKey:
-    """Hold one key for session tokens."""
+    """Hold one key that signs session tokens."""
 
     id: str
-    # Kept out of logs and tracebacks.
+    # Excluded from logs and tracebacks.
     secret: bytes = field(repr=False)
 
 
 class TokenKeys:
-    """Sign with the first key and verify with all."""
+    """Sign with the first key and verify with any key."""
 
     def __init__(self, keys: Sequence[SigningKey]) -> None:
-        """Take the keys in order; raise SettingsInvalid if unusable."""
+        """Use the keys in order; raise SettingsInvalid if one is unusable."""
         problems = _check_keys(keys)
         if problems:
             raise SettingsInvalid('session keys', problems)
@@ -71,15 +71,16 @@
         self._verify = lru_cache(CACHED_TOKENS)(self._verify_text)
 
     def sign(self, points: Mapping[GroupId, Point]) -> str:
-        """Sign the last points of a mapping that is ordered by use."""
-        # The bound keeps the token small enough for a comment or a packet. A
-        # group left out costs its next reader a barrier, never a stale read.
+        """Sign the most recent points of a mapping that is ordered by use."""
+        # The limit keeps the token small enough for a comment or a packet. A
+        # group that is omitted costs the next read a barrier, but never makes
+        # it stale.
         return self._sign(tuple(points.items())[-MAX_GROUPS:])
 
     def verify(self, text: str) -> Result[dict[GroupId, Point], NotRun]:
-        """Return the points, or refuse a token not signed with our keys."""
-        # A forged position far ahead would send the session's reads to the
-        # primary for good, so nothing is read out of it before the tag fits.
+        """Return the points, or refuse a token not signed with a known key."""
+        # A forged position far ahead would send all reads of the session to
+        # the primary, so the payload is decoded only after the tag is verified.
         if len(text) > MAX_LENGTH:
             return Err(_refuse('is too long'))
         verified = self._verify(text)
