--- a/tests/features/promise_bench.py
+++ b/tests/features/promise_bench.py
@@ -1,4 +1,4 @@
-"""Let callers act on whole proxies and hold all promises against it."""
+"""Run callers against complete proxies and check all promises."""
 
 from asyncio import sleep
 from collections.abc import Callable, Iterable
@@ -27,21 +27,21 @@
     slots=3,
     connection_limit=20,
 )
-SETTLE = 12
+SETTLE_TIME = 12
 WORK_PAUSE = 0.1
 SEED = 1
 
 
 @dataclass(frozen=True)
-class Told:
-    """Hold what a caller was told, and how long it took."""
+class CallerResult:
+    """Hold the outcome of a caller's statement and its duration."""
 
     outcome: Result[Answer, Refusal] | None
     spent: float
 
     @property
-    def word(self) -> str:
-        """Name the outcome in one word."""
+    def outcome_name(self) -> str:
+        """Return the name of the outcome."""
         if self.outcome is None:
             return 'cut off'
         refusal = self.outcome.err()
@@ -53,20 +53,20 @@
 
 
 class PromiseBench(VirtualTime):
-    """Run one deployment in virtual time, with its callers."""
+    """Run one deployment and its callers in virtual time."""
 
     def __init__(self, profile: Profile = PROFILE) -> None:
-        """Start all and wait until it serves."""
+        """Start the deployment and wait until it serves."""
         super().__init__()
         self.ledger = Ledger()
-        self.told: dict[str, Told] = {}
+        self.results: dict[str, CallerResult] = {}
         self.answer_within: float | None = None
-        # Set while a proxy stops gracefully, which must cut nobody off.
+        # Set while a proxy stops gracefully, which must not cut any request.
         self.is_stopping = False
-        # Further checks at the end, each of which may break a promise.
+        # Additional checks at the end, each of which may record a violation.
         self.checks: list[Callable[[], None]] = []
         self._callers: dict[str, Caller] = {}
-        # The proxies draw from the global generator.
+        # The proxies use the global random generator.
         seed(SEED)
         self.deployment = Deployment(profile, SEED)
         self.run(self.deployment.__aenter__())
@@ -90,33 +90,35 @@
         return self._callers[name]
 
     def find_primary(self) -> Database:
-        """Return whoever was promoted last."""
+        """Return the database that was promoted last."""
         leader = self.group.find_leader()
         assert leader is not None
         return leader
 
-    async def ask(self, name: str, sql: str, **attributes: Any) -> Told:
-        """Send one statement of a caller."""
+    async def ask(self, name: str, sql: str, **attributes: Any) -> CallerResult:
+        """Send one statement of a caller and record the result."""
         started = read_clock()
         outcome = None
         with suppress(ProxyGone):
             outcome = await self.get_caller(name).ask(sql, **attributes)
-        told = Told(outcome, read_clock() - started)
-        self.told[name] = told
+        result = CallerResult(outcome, read_clock() - started)
+        self.results[name] = result
         if outcome is None and self.is_stopping:
             self.ledger.break_promise(Promise.NO_CUT, name)
         limit = self.answer_within
-        if limit is not None and told.spent > limit:
-            detail = f'{name} waited {told.spent:.3f} s'
+        if limit is not None and result.spent > limit:
+            detail = f'{name} waited {result.spent:.3f} s'
             self.ledger.break_promise(Promise.DEADLINE, detail)
-        return told
+        return result
 
-    async def write(self, name: str, ref: str, **attributes: Any) -> Told:
-        """Write one row and note what the caller was told."""
+    async def write(
+        self, name: str, ref: str, **attributes: Any
+    ) -> CallerResult:
+        """Write one row and record the outcome."""
         self.note(ref, is_repeatable=bool(attributes.get('idempotent')))
-        told = await self.ask(name, make_insert(ref), **attributes)
-        self.conclude([ref], told)
-        return told
+        result = await self.ask(name, make_insert(ref), **attributes)
+        self.record_outcome([ref], result)
+        return result
 
     async def read(
         self,
@@ -124,57 +126,57 @@
         refs: Iterable[str],
         promise: Promise = Promise.READ_YOUR_WRITES,
         **attributes: Any,
-    ) -> Told:
-        """Read rows that must be there."""
+    ) -> CallerResult:
+        """Read rows that must exist."""
         wanted = list(refs)
         tag = f'read-{name}'
         listed = ', '.join(f"'{ref}'" for ref in wanted)
-        told = await self.ask(
+        result = await self.ask(
             name,
             f"SELECT '{tag}' UNION ALL "
             + f'SELECT ref FROM turns WHERE ref IN ({listed})',
             **attributes,
         )
-        if told.outcome is not None:
-            self.ledger.note_read(told.outcome, wanted, promise, tag)
-        return told
+        if result.outcome is not None:
+            self.ledger.note_read(result.outcome, wanted, promise, tag)
+        return result
 
     async def work(self, name: str, proxy: str, seconds: float) -> None:
-        """Let a caller write and read in turn at one proxy."""
+        """Alternate writes and reads of one caller at one proxy."""
         await self.get_caller(name).connect(proxy)
         end = read_clock() + seconds
         number = 0
         while read_clock() < end:
             number += 1
             ref = f'{name}-{number}'
-            told = await self.write(name, ref)
-            if told.word == 'done':
+            result = await self.write(name, ref)
+            if result.outcome_name == 'done':
                 await self.read(name, [ref])
             await sleep(WORK_PAUSE)
 
     def note(self, ref: str, is_repeatable: bool = False) -> WriteNote:
-        """Note that a row is about to be written."""
+        """Record that a row is about to be written."""
         return self.ledger.writes.setdefault(
             ref,
             WriteNote(ref, is_repeatable, 0),
         )
 
-    def conclude(self, refs: Iterable[str], told: Told) -> None:
-        """Note what a caller was told of rows."""
+    def record_outcome(self, refs: Iterable[str], result: CallerResult) -> None:
+        """Record the outcome of writing rows."""
         for ref in refs:
             note = self.note(ref)
-            if told.outcome is None:
+            if result.outcome is None:
                 note.is_refused = False
             else:
-                self.ledger.note_write(note, told.outcome, 0)
+                self.ledger.note_write(note, result.outcome, 0)
 
     def check(self) -> list[str]:
-        """End all failures and name the promises that were broken."""
+        """End all faults and return the promises that were broken."""
         self.finish()
         for check in self.checks:
             check()
         plan = FaultPlan(self.deployment, self.deployment.random, self.ledger)
-        self.run(plan.settle(SETTLE))
+        self.run(plan.settle(SETTLE_TIME))
         self.ledger.check_group(self.group)
         return [
             f'{violation.promise.value}: {violation.detail}'
@@ -189,5 +191,5 @@
 
 
 def make_insert(ref: str, tag: str | None = None) -> str:
-    """Return the statement that writes `ref`, marked with its owner."""
+    """Return the statement that writes `ref`, tagged with its caller."""
     return f"INSERT INTO turns (ref) VALUES ('{ref}') /* tag={tag or ref} */"
--- a/tests/features/promise_safeguards.py
+++ b/tests/features/promise_safeguards.py
@@ -1,4 +1,4 @@
-"""Take single safeguards out, to see the promise break without each."""
+"""Disable single safeguards to check that the promise then breaks."""
 
 from contextlib import ExitStack
 from typing import Any
@@ -28,30 +28,30 @@
 from tests.deployment import Deployment
 from tests.standins.platform import MemoryKeyValue
 
-Change = tuple[Any, str, Any]
+Patch = tuple[Any, str, Any]
 TAKE_RELEASED = TargetPool.take_released
 COMMIT = MemoryKeyValue.commit
 STOP_PROXY = Deployment.stop_proxy
 MEASURE_AGE = GroupView.measure_age
 
 
-def _say_no(*_: object, **_named: object) -> bool:
+def _return_false(*_: object, **_named: object) -> bool:
     return False
 
 
-def _say_yes(*_: object, **_named: object) -> bool:
+def _return_true(*_: object, **_named: object) -> bool:
     return True
 
 
 def _do_nothing(*_: object) -> None:
-    """Leave everything as it is."""
+    """Do nothing."""
 
 
-async def _wait_for_nothing(*_: object) -> None:
+async def _return_at_once(*_: object) -> None:
     """Return at once."""
 
 
-async def _pass_answer(*given: Any) -> Any:
+async def _return_last(*given: Any) -> Any:
     return Ok(given[-1])
 
 
@@ -59,11 +59,11 @@
     await TAKE_RELEASED(pool, connection, is_clean=True)
 
 
-async def _begin_anew(transaction: Transaction) -> None:
+async def _reset_transaction(transaction: Transaction) -> None:
     transaction.state = TransactionState.DECLARED
 
 
-async def _commit_blindly(
+async def _commit_unconditionally(
     service: MemoryKeyValue,
     _compares: object,
     changes: Any,
@@ -83,8 +83,8 @@
     return Ok(min(fenced, key=lambda status: status.log_end))
 
 
-def _call_lost_not_run(loss: Any) -> NotRun:
-    # Any other cause would have it sent again.
+def _report_not_run(loss: Any) -> NotRun:
+    # With another cause, the request would be sent again.
     return NotRun(Cause.DEADLINE, str(loss))
 
 
@@ -94,65 +94,65 @@
     return MEASURE_AGE(view, target, now)
 
 
-def _measure_no_age(*_: object) -> float:
+def _return_zero_age(*_: object) -> float:
     return 0
 
 
-def _believe_listing(active: ActiveConfiguration, listing: Any) -> bool:
+def _accept_listing(active: ActiveConfiguration, listing: Any) -> bool:
     active._put_in_force(read_listing(listing).snapshot, 'listing')
     active._read_up_to = listing.revision
     return True
 
 
-async def _believe_refusal(_: object, _sent: object, refused: Any) -> Any:
+async def _return_refusal(_: object, _sent: object, refused: Any) -> Any:
     return refused
 
 
-_NO_PEERS: Change = (ConfigurationFeed, '_ask_peer', _wait_for_nothing)
-SAFEGUARDS: dict[str, tuple[Change, ...]] = {
+_NO_PEERS: Patch = (ConfigurationFeed, '_ask_peer', _return_at_once)
+SAFEGUARDS: dict[str, tuple[Patch, ...]] = {
     'none': (),
-    'covered point': ((GroupView, 'covers', _say_yes),),
+    'covered point': ((GroupView, 'covers', _return_true),),
     'term order': ((Point, 'is_covered_by', _compare_positions),),
-    'barrier': ((SessionState, 'needs_barrier', _say_no),),
+    'barrier': ((SessionState, 'needs_barrier', _return_false),),
     'barrier after unknown': (
         (SessionState, 'note_unknown_write', _do_nothing),
     ),
-    'majority evidence': ((Confirmation, 'confirm', _pass_answer),),
+    'majority evidence': ((Confirmation, 'confirm', _return_last),),
     'longest log': ((promoter, 'choose_candidate', _choose_shortest),),
-    'majority in reach': ((GroupView, 'hears_majority', _say_yes),),
+    'majority in reach': ((GroupView, 'hears_majority', _return_true),),
     'closed connection': ((AcquiredConnection, 'invalidate', _do_nothing),),
     'discarded answer': ((TargetPool, 'take_released', _keep_dirty),),
-    'lost state': ((Transaction, '_mark_lost', _begin_anew),),
-    'lost is unknown': (
-        (target_service, '_describe_loss', _call_lost_not_run),
-    ),
-    'sent once': ((writes, 'is_repeatable', _say_yes),),
-    'request id': ((RequestIds, 'record', _pass_answer),),
-    'leaving label': ((Target, 'is_leaving', _say_no),),
-    'leaving evidence': ((InstanceWatch, 'is_leaving', _say_no),),
+    'lost state': ((Transaction, '_mark_lost', _reset_transaction),),
+    'lost is unknown': ((target_service, '_describe_loss', _report_not_run),),
+    'sent once': ((writes, 'is_repeatable', _return_true),),
+    'request id': ((RequestIds, 'record', _return_last),),
+    'leaving label': ((Target, 'is_leaving', _return_false),),
+    'leaving evidence': ((InstanceWatch, 'is_leaving', _return_false),),
     'grace': ((Deployment, 'stop_proxy', _stop_at_once),),
     'peers': (_NO_PEERS,),
     'new listing': (
         _NO_PEERS,
-        (ConfigurationFeed, '_close_gap', _pass_answer),
+        (ConfigurationFeed, '_close_gap', _return_last),
     ),
-    'upwards only': (
+    'no downgrade': (
         _NO_PEERS,
-        (ActiveConfiguration, 'take_listing', _believe_listing),
+        (ActiveConfiguration, 'take_listing', _accept_listing),
     ),
-    'reading back': ((Settler, '_read_back', _believe_refusal),),
-    'compare-and-swap': ((MemoryKeyValue, 'commit', _commit_blindly),),
-    'age limit': ((GroupView, 'measure_age', _measure_no_age),),
+    'reading back': ((Settler, '_read_back', _return_refusal),),
+    'compare-and-swap': ((MemoryKeyValue, 'commit', _commit_unconditionally),),
+    'age limit': ((GroupView, 'measure_age', _return_zero_age),),
     'age kept': ((GroupView, 'measure_age', _measure_with_majority),),
-    'token instead of barrier': ((SessionState, 'needs_barrier', _say_yes),),
+    'token instead of barrier': (
+        (SessionState, 'needs_barrier', _return_true),
+    ),
     'ended waits': ((TargetService, 'mark_unreachable', _do_nothing),),
-    'refusal at the door': ((TargetAdmission, '_is_too_long', _say_no),),
-    'seats': ((SeatHolder, 'is_seated', _say_yes),),
+    'early refusal': ((TargetAdmission, '_is_too_long', _return_false),),
+    'seats': ((SeatHolder, 'is_seated', _return_true),),
 }
 
 
-def take_out(name: str) -> ExitStack:
-    """Take the safeguard out until the returned stack is closed."""
+def disable_safeguard(name: str) -> ExitStack:
+    """Disable the safeguard until the returned stack is closed."""
     owned = ExitStack()
     for changed, attribute, replacement in SAFEGUARDS[name]:
         owned.enter_context(patch.object(changed, attribute, replacement))
--- a/tests/features/promises_operators.feature
+++ b/tests/features/promises_operators.feature
@@ -1,13 +1,13 @@
-Feature: What operators declare holds everywhere and stays
-  Each scenario runs as the product is, and once without its safeguard.
+Feature: Configuration changes apply on all proxies and are not reverted
+  Each scenario runs with all safeguards and once with one disabled.
 
   Scenario Outline: Database <number> is labelled as leaving, without <safeguard>
-    Callers go on working. Within 3 s no statement begins on the database any
-    more, also if it was the primary, which another one replaces first.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    Callers continue to work. Within 3 s no statement starts on the database any
+    more, even if it was the primary, which must be replaced first.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When operator "ann" labels database <number> as leaving
     And callers work at all proxies for 5 s
-    Then operator "ann" is told "done"
+    Then operator "ann" gets the outcome "done"
     And the promise "a leaving target gets no new work" is <verdict>
 
     Examples:
@@ -18,9 +18,10 @@
       | 1      | leaving label | broken  |
 
   Scenario Outline: A database leaves by <source>, without <safeguard>
-    The platform takes an instance away that no operator labelled, also while
-    the key-value service is down. Its list, or a peer's word, is enough.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    The platform removes an instance without a label from an operator. The
+    instance list or an announcement of a peer is sufficient, also while the
+    key-value service is down.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When <source>
     And callers work at all proxies for 5 s
     Then the promise "a leaving target gets no new work" is <verdict>
@@ -33,8 +34,8 @@
       | "p1" announces that database 2 is leaving | leaving evidence | broken  |
 
   Scenario Outline: The list names a leaving database while the service is down, without <safeguard>
-    No label can be changed now. The list comes from elsewhere and is read on.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    No label can be changed now, but the instance list is still available.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When the key-value service goes down
     And the list shows database 2 as leaving
     And callers work at all proxies for 5 s
@@ -45,10 +46,10 @@
       | none             | kept    |
       | leaving evidence | broken  |
 
-  Scenario Outline: A zone cut off from the platform learns of a leaving database, without <safeguard>
-    The watch of two proxies hangs in the cut. Their peers in the other zones
-    know the newer revision, and they are asked every half second.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+  Scenario Outline: A leaving database is known in a zone cut off from the platform, without <safeguard>
+    The watches of two proxies receive no changes. Their peers in other zones
+    have the newer revision and are asked for it every half second.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When zone b is cut off from the platform
     And operator "ann" labels database 2 as leaving
     And callers work at all proxies for 5 s
@@ -61,10 +62,10 @@
 
   Scenario Outline: A change reaches proxies whose watch hangs, without <safeguard>
     Zone b is cut off from the platform as the change is made.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When zone b is cut off from the platform
     And operator "ann" colours database 2
-    Then all proxies have it in force within 5 s
+    Then all proxies apply it within 5 s
     And the promise "configuration is in force and never reverts" is <verdict>
 
     Examples:
@@ -73,12 +74,12 @@
       | peers     | broken  |
 
   Scenario Outline: A new proxy starts while the service is down, without <safeguard>
-    It keeps nothing and can read nothing: the newest revision comes from a
-    peer.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    The new proxy has no stored configuration and cannot read the service, so it
+    gets the newest revision from a peer.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When the key-value service goes down
     And proxies "p7" start
-    Then all proxies have it in force within 5 s
+    Then all proxies apply it within 5 s
     And the promise "configuration is in force and never reverts" is <verdict>
 
     Examples:
@@ -86,19 +87,19 @@
       | none      | kept    |
       | peers     | broken  |
 
-  Scenario Outline: The service forgets the changes that a proxy missed, without <safeguard>
-    Zone a was cut off from everybody. Back again, its watch cannot start
-    where it stopped; it starts anew from a listing.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+  Scenario Outline: The service compacts the changes that a proxy missed, without <safeguard>
+    Zone a was cut off from all others. Its watch cannot resume from the
+    revision where it stopped and must restart from a listing.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When zone a is cut off from the other zones
     And zone a is cut off from the platform
     And the key-value service goes down
-    And it goes on for 0.5 s
+    And time advances by 0.5 s
     And the key-value service comes back
     And operator "ann" colours database 2
-    And the key-value service forgets its old changes
-    And the cuts are healed
-    Then all proxies have it in force within 5 s
+    And the key-value service compacts its old changes
+    And the network is restored
+    Then all proxies apply it within 5 s
     And the promise "configuration is in force and never reverts" is <verdict>
 
     Examples:
@@ -107,44 +108,44 @@
       | new listing | broken  |
 
   Scenario Outline: A member of the service that fell behind reverts nothing, without <safeguard>
-    After an outage the watches must start from a listing, and the member that
-    answers shows what held before the change.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    And no revision may ever go back
+    After an outage the watches restart from a listing, and the member that
+    answers returns the state before the change.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    And no revision may decrease
     When a member of the key-value service falls behind
     And operator "ann" colours database 2
-    And it goes on for 1 s
-    And the key-value service forgets its old changes
-    And proxies are led to the member that fell behind
-    And it goes on for 3 s
+    And time advances by 1 s
+    And the key-value service compacts its old changes
+    And proxies read from the member that fell behind
+    And time advances by 3 s
     Then the promise "configuration is in force and never reverts" is <verdict>
 
     Examples:
       | safeguard    | verdict |
       | none         | kept    |
-      | upwards only | broken  |
+      | no downgrade | broken  |
 
   Scenario Outline: The answer to an operator's change is lost, without <safeguard>
-    The change took effect. Sent again it is refused, as its own first run
-    moved the head: only reading back tells the operator the truth.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    The change took effect. The retry is refused, as the first run has changed
+    the head. Only reading the change back gives the true outcome.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When the key-value service loses the next answer
     And operator "ann" colours database 2
-    And it goes on for 1 s
-    Then operator "ann" is told "<told>"
+    And time advances by 1 s
+    Then operator "ann" gets the outcome "<outcome>"
     And the promise "configuration is in force and never reverts" is <verdict>
 
     Examples:
-      | safeguard    | told     | verdict |
+      | safeguard    | outcome  | verdict |
       | none         | done     | kept    |
       | reading back | conflict | broken  |
 
   Scenario Outline: Two operators change the same label at once, without <safeguard>
-    Both were told "done" and one change is gone: that is what comparing the
-    head's revision in the commit prevents.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    Comparing the revision of the head in the commit prevents that both get
+    "done" while one change is lost.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     When operators "ann" and "ben" colour database 2 at once
-    And it goes on for 1 s
+    And time advances by 1 s
     Then the promise "configuration is in force and never reverts" is <verdict>
 
     Examples:
--- a/tests/features/promises_transactions.feature
+++ b/tests/features/promises_transactions.feature
@@ -1,16 +1,16 @@
-Feature: Transactions stay whole and apart, and answers go to who asked
-  Each scenario runs as the product is, and once without its safeguard.
+Feature: Transactions are atomic and isolated, and callers get their own answers
+  Each scenario runs with all safeguards and once with one disabled.
 
-  Scenario Outline: A caller leaves in the midst of its transaction, without <safeguard>
-    Ana's phone goes away with her transaction open. Lent on as it is, the
-    connection would run the next caller's statements inside hers.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
-    And caller "ben" comes to "p2"
+  Scenario Outline: A caller disconnects during its transaction, without <safeguard>
+    A caller disconnects with an open transaction. If its connection were
+    reused, the next caller's statements would run in that transaction.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
+    And caller "ben" connects to "p2"
     And caller "ana" begins a transaction and writes "turn" in it
     And caller "ana" leaves
     And caller "ben" writes "song"
-    Then caller "ben" is told "done"
+    Then caller "ben" gets the outcome "done"
     And the promise "transactions never interleave" is <verdict>
 
     Examples:
@@ -18,38 +18,39 @@
       | none              | kept    |
       | closed connection | broken  |
 
-  Scenario Outline: The connection breaks in the midst of a transaction, without <safeguard>
-    The first write is undone with the connection. To go on would commit the
-    second alone, and tell the caller that both are there.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
+  Scenario Outline: The connection breaks during a transaction, without <safeguard>
+    The first write is rolled back with the connection. If the transaction
+    continued, only the later writes would be committed, although the caller
+    would get "done" for all of them.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
     And caller "ana" begins a transaction and writes "first" in it
     And the connections of "p2" to the primary break
     And caller "ana" writes "second" in it
     And caller "ana" writes "third" in it
     And caller "ana" commits "first,third"
-    Then caller "ana" is told "<told>"
+    Then caller "ana" gets the outcome "<outcome>"
     And the promise "acknowledged writes are kept" is <verdict>
 
     Examples:
-      | safeguard  | told    | verdict |
+      | safeguard  | outcome | verdict |
       | none       | not run | kept    |
       | lost state | done    | broken  |
 
-  Scenario Outline: A late answer goes to nobody else, without <safeguard>
-    Ana's read takes too long and she is refused. Her answer still comes, on
-    a connection that must not be lent again: Ben would read it as his own.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
-    And caller "ben" comes to "p2"
+  Scenario Outline: A late answer does not reach another caller, without <safeguard>
+    A read exceeds its deadline, but its answer still arrives later. If the
+    connection were reused, the next caller would get that answer.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
+    And caller "ben" connects to "p2"
     And caller "ana" writes "song"
     And caller "ana" reads "song"
     And database 2 takes 100 times as long
     And caller "ana" starts to read "song" within 0.05 s
-    And it goes on for 0.06 s
+    And time advances by 0.06 s
     And database 2 takes 1 times as long
     And caller "ben" reads "song"
-    Then caller "ben" is told "done"
+    Then caller "ben" gets the outcome "done"
     And the promise "a caller gets its own answer" is <verdict>
 
     Examples:
@@ -58,17 +59,17 @@
       | discarded answer | broken  |
 
   Scenario Outline: The answer to a COMMIT is lost, without <safeguard>
-    The commit took effect and its answer never came. The id that went in
-    with it tells the proxy, on a new connection, that it did.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
+    The commit took effect, but its answer was lost. The proxy finds the
+    request id that was committed with it over a new connection.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
     And caller "ana" begins a transaction and writes "pay" in it
     And caller "ana" starts with id "k1" to commit "pay"
-    And the connections of "p2" break once "pay" has run
-    Then caller "ana" is told "<told>"
+    And the connections of "p2" break once "pay" is committed
+    Then caller "ana" gets the outcome "<outcome>"
     And the promise "not run means not run" is <verdict>
 
     Examples:
-      | safeguard  | told    | verdict |
+      | safeguard  | outcome | verdict |
       | none       | done    | kept    |
       | request id | not run | broken  |
--- a/tests/features/promises_writes.feature
+++ b/tests/features/promises_writes.feature
@@ -1,16 +1,16 @@
-Feature: Acknowledged writes last, and only the current primary's are
-  Each scenario runs as the product is, and once without its safeguard.
+Feature: Only durable writes of the current primary are acknowledged
+  Each scenario runs with all safeguards and once with one disabled.
 
   Scenario Outline: The primary is <lost> right after the answer, without <safeguard>
-    Replicas copy late. An answer that went out with the record on the primary
-    alone would be a lie by the time the next primary leads.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    All replicas lag. If the write were acknowledged while only the primary has
+    it, it would be lost with the failover.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     And all replicas lag 0.3 s
-    When caller "ana" comes to "p2"
+    When caller "ana" connects to "p2"
     And caller "ana" writes "song"
     And the primary is <lost>
-    And a new primary leads
-    Then caller "ana" is told "done"
+    And a new primary is promoted
+    Then caller "ana" gets the outcome "done"
     And the promise "acknowledged writes are kept" is <verdict>
 
     Examples:
@@ -21,32 +21,32 @@
       | frozen | majority evidence | broken  |
 
   Scenario Outline: A primary cut off with its zone acknowledges nothing, without <safeguard>
-    The primary still believes that it leads and takes the write. Its group
-    promotes another one meanwhile, which never saw the record.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p1"
+    The isolated primary accepts the write, and meanwhile another target is
+    promoted, which does not have the record.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p1"
     And caller "ana" writes "warm"
     And zone a is cut off from the other zones
     And caller "ana" starts to write "song" within 2 s
-    And a new primary leads
-    Then caller "ana" is told "<told>"
+    And a new primary is promoted
+    Then caller "ana" gets the outcome "<outcome>"
     And the promise "acknowledged writes are kept" is <verdict>
 
     Examples:
-      | safeguard         | told    | verdict |
+      | safeguard         | outcome | verdict |
       | none              | unknown | kept    |
       | majority evidence | done    | broken  |
 
   Scenario Outline: The replica with the longest log is promoted, without <safeguard>
-    One replica let the write be acknowledged, the other is far behind. Both
-    could lead; only the first has the write.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
+    One replica has confirmed the write and the other one lags. Both can be
+    promoted, but only the first one has the write.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
     And the replica in zone b lags 5 s
-    When caller "ana" comes to "p3"
+    When caller "ana" connects to "p3"
     And caller "ana" writes "song"
     And the primary is killed
-    And a new primary leads
-    Then caller "ana" is told "done"
+    And a new primary is promoted
+    Then caller "ana" gets the outcome "done"
     And the promise "acknowledged writes are kept" is <verdict>
 
     Examples:
@@ -54,48 +54,48 @@
       | none        | kept    |
       | longest log | broken  |
 
-  Scenario Outline: A write whose connection broke is not called not run, without <safeguard>
-    The target commits and its answer is lost on the way. To call that "not
-    run" would let the caller write its entry a second time.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
+  Scenario Outline: A write whose connection broke is not reported as not run, without <safeguard>
+    The target commits, but its answer is lost. If that were reported as "not
+    run", the caller would write the row a second time.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
     And caller "ana" writes "warm"
     And caller "ana" starts to write "song" within 2 s
-    And the connections of "p2" break once "song" has run
-    Then caller "ana" is told "<told>"
+    And the connections of "p2" break once "song" is committed
+    Then caller "ana" gets the outcome "<outcome>"
     And the promise "not run means not run" is <verdict>
 
     Examples:
-      | safeguard       | told    | verdict |
+      | safeguard       | outcome | verdict |
       | none            | unknown | kept    |
       | lost is unknown | not run | broken  |
 
   Scenario Outline: A payment whose answer was lost is not sent again, without <safeguard>
-    The target commits and its answer is lost. The request bears no id and no
-    leave to repeat it, so its outcome stays unknown.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
+    The target commits, but its answer is lost. The request has no id and is
+    not idempotent, so it must not be retried and its outcome stays unknown.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
     And caller "ana" writes "warm"
     And caller "ana" starts to write "pay" within 2 s
-    And the connections of "p2" break once "pay" has run
-    Then caller "ana" is told "<told>"
+    And the connections of "p2" break once "pay" is committed
+    Then caller "ana" gets the outcome "<outcome>"
     And the promise "non-idempotent requests run at most once" is <verdict>
 
     Examples:
-      | safeguard | told    | verdict |
+      | safeguard | outcome | verdict |
       | none      | unknown | kept    |
       | sent once | done    | broken  |
 
-  Scenario Outline: The same id at two proxies at once runs once, without <safeguard>
-    An agent's client asks again through another proxy while the first one is
-    still at it. The id's unique key in the group's own database decides.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
-    And caller "ben" comes to "p3"
+  Scenario Outline: Concurrent requests with the same id at two proxies run once, without <safeguard>
+    A client retries through another proxy while the first request is still
+    running. The unique key of the request id in the database lets one win.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
+    And caller "ben" connects to "p3"
     And caller "ana" starts with id "k1" to write "pay"
     And caller "ben" asks with id "k1" to write "pay"
-    Then caller "ana" is told "done"
-    And caller "ben" is told "done"
+    Then caller "ana" gets the outcome "done"
+    And caller "ben" gets the outcome "done"
     And the promise "non-idempotent requests run at most once" is <verdict>
 
     Examples:
@@ -103,20 +103,20 @@
       | none       | kept    |
       | request id | broken  |
 
-  Scenario Outline: The same id after a failover runs once, without <safeguard>
-    The proxy dies before it can answer, and the primary dies a little later.
-    The caller asks again elsewhere: the new primary knows the id, as it came
-    with the write's own record.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p2"
+  Scenario Outline: A retry with the same id after a failover runs once, without <safeguard>
+    The proxy fails before it answers, and the primary fails shortly after. The
+    caller retries at another proxy. The new primary has the request id, as it
+    is replicated in the same record as the write.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p2"
     And caller "ana" starts with id "k1" to write "pay"
-    And "p2" is killed once "pay" has run
-    And it goes on for 0.1 s
+    And "p2" is killed once "pay" is committed
+    And time advances by 0.1 s
     And the primary is killed
-    And a new primary leads
-    And caller "ana" goes on to "p3" with the token
+    And a new primary is promoted
+    And caller "ana" reconnects to "p3" with the token
     And caller "ana" asks with id "k1" to write "pay"
-    Then caller "ana" is told "done"
+    Then caller "ana" gets the outcome "done"
     And the promise "non-idempotent requests run at most once" is <verdict>
 
     Examples:
@@ -124,21 +124,22 @@
       | none       | kept    |
       | request id | broken  |
 
-  Scenario Outline: A primary is superseded while it works on a write, without <safeguard>
-    The write takes a second. Meanwhile the primary is cut off with its zone,
-    another one is promoted, and the write ends on the old one. Its record is in a log that will be dropped.
-    Given proxies in three zones, with the safeguard "<safeguard>" taken out
-    When caller "ana" comes to "p1"
+  Scenario Outline: A primary is superseded while it runs a write, without <safeguard>
+    The write takes a second. Meanwhile the primary is cut off with its zone and
+    another target is promoted. The write is committed only to the log of the
+    old primary, which is discarded.
+    Given proxies in three zones, with the safeguard "<safeguard>" disabled
+    When caller "ana" connects to "p1"
     And caller "ana" writes "warm"
     And the primary takes 1000 times as long
     And caller "ana" starts to write "song" within 10 s
-    And it goes on for 0.1 s
+    And time advances by 0.1 s
     And zone a is cut off from the other zones
-    And a new primary leads
-    Then caller "ana" is told "<told>"
+    And a new primary is promoted
+    Then caller "ana" gets the outcome "<outcome>"
     And the promise "acknowledged writes are kept" is <verdict>
 
     Examples:
-      | safeguard         | told    | verdict |
+      | safeguard         | outcome | verdict |
       | none              | unknown | kept    |
       | majority evidence | done    | broken  |
--- a/tests/features/steps/histories_steps.py
+++ b/tests/features/steps/histories_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from tests.features.promise_safeguards import take_out
+from tests.features.promise_safeguards import disable_safeguard
 from tests.histories import run_history
 from tests.ledger import Promise
 from tests.soak import PROFILE, run_many
@@ -37,7 +37,7 @@
 
 @given('random histories with the safeguard "{name}" taken out')
 def break_build(context: Any, name: str) -> None:
-    context.add_cleanup(take_out(name).close)
+    context.add_cleanup(disable_safeguard(name).close)
 
 
 @when('at most {count:d} of them run')
--- a/tests/features/steps/promise_callers_steps.py
+++ b/tests/features/steps/promise_callers_steps.py
@@ -1,4 +1,4 @@
-"""Let callers write, read, roam and run transactions."""
+"""Define steps by which callers connect, read, write and commit."""
 
 from typing import Any
 
@@ -6,30 +6,30 @@
 
 from sedgeshunt.identifiers import TargetId
 from tests.features.promise_bench import PromiseBench, make_insert
-from tests.features.promise_safeguards import take_out
+from tests.features.promise_safeguards import disable_safeguard
 from tests.ledger import Promise
 
 
-@given('proxies in three zones, with the safeguard "{name}" taken out')
+@given('proxies in three zones, with the safeguard "{name}" disabled')
 def start_without(context: Any, name: str) -> None:
-    context.add_cleanup(take_out(name).close)
+    context.add_cleanup(disable_safeguard(name).close)
     context.bench = PromiseBench()
     context.add_cleanup(context.bench.close)
 
 
-@given('callers want each answer within {seconds:g} s')
-def want_answers(context: Any, seconds: float) -> None:
+@given('each answer is due within {seconds:g} s')
+def set_answer_limit(context: Any, seconds: float) -> None:
     context.bench.answer_within = seconds
 
 
-@when('caller "{name}" comes to "{proxy}"')
-@when('caller "{name}" goes on to "{proxy}" with the token')
+@when('caller "{name}" connects to "{proxy}"')
+@when('caller "{name}" reconnects to "{proxy}" with the token')
 def connect(context: Any, name: str, proxy: str) -> None:
     context.bench.run(context.bench.get_caller(name).connect(proxy))
 
 
-@when('caller "{name}" goes on to "{proxy}" without the token')
-def connect_anew(context: Any, name: str, proxy: str) -> None:
+@when('caller "{name}" reconnects to "{proxy}" without the token')
+def reconnect_without_token(context: Any, name: str, proxy: str) -> None:
     context.bench.get_caller(name).token = None
     connect(context, name, proxy)
 
@@ -91,7 +91,7 @@
 @when('caller "{name}" commits "{refs}"')
 def commit(context: Any, name: str, refs: str) -> None:
     bench = context.bench
-    bench.conclude(refs.split(','), bench.run(bench.ask(name, 'COMMIT')))
+    bench.record_outcome(refs.split(','), bench.run(bench.ask(name, 'COMMIT')))
 
 
 @when('caller "{name}" starts with id "{request}" to commit "{refs}"')
@@ -99,8 +99,8 @@
     bench = context.bench
 
     async def send() -> None:
-        told = await bench.ask(name, 'COMMIT', request_id=request)
-        bench.conclude(refs.split(','), told)
+        result = await bench.ask(name, 'COMMIT', request_id=request)
+        bench.record_outcome(refs.split(','), result)
 
     for ref in refs.split(','):
         bench.note(ref).is_refused = True
@@ -112,17 +112,17 @@
     context.bench.run(context.bench.get_caller(name).leave())
 
 
-@then('caller "{name}" is told "{word}"')
-def check_told(context: Any, name: str, word: str) -> None:
+@then('caller "{name}" gets the outcome "{word}"')
+def check_outcome(context: Any, name: str, word: str) -> None:
     context.bench.finish()
-    told = context.bench.told[name]
-    assert told.word == word, told
+    result = context.bench.results[name]
+    assert result.outcome_name == word, result
 
 
 @then('the answer came from "{target}"')
 def check_server(context: Any, target: str) -> None:
-    told = list(context.bench.told.values())[-1]
-    assert told.outcome.unwrap().served_by == TargetId(target), told
+    result = list(context.bench.results.values())[-1]
+    assert result.outcome.unwrap().served_by == TargetId(target), result
 
 
 @then('the promise "{promise}" is {verdict}')
--- a/tests/features/steps/promise_failures_steps.py
+++ b/tests/features/steps/promise_failures_steps.py
@@ -1,4 +1,4 @@
-"""Bring single failures about, each at its worst moment."""
+"""Define steps that inject single failures at critical moments."""
 
 from asyncio import sleep
 from dataclasses import replace
@@ -25,8 +25,8 @@
         database.set_lag(seconds)
 
 
-@when('it goes on for {seconds:g} s')
-def let_pass(context: Any, seconds: float) -> None:
+@when('time advances by {seconds:g} s')
+def advance_time(context: Any, seconds: float) -> None:
     context.bench.run(sleep(seconds))
 
 
@@ -55,7 +55,7 @@
     context.bench.group[f'{GROUP}-db{number}'].slow(factor)
 
 
-@when('a new primary leads')
+@when('a new primary is promoted')
 def wait_promotion(context: Any) -> None:
     bench = context.bench
     before = bench.find_primary()
@@ -77,36 +77,36 @@
     network.cut(f'zone-{zone}', PLATFORM.name)
 
 
-@when('"{proxy}" is cut off from the primary once "{ref}" has run')
-def cut_late(context: Any, proxy: str, ref: str) -> None:
+@when('"{proxy}" is cut off from the primary once "{ref}" is committed')
+def cut_after_commit(context: Any, proxy: str, ref: str) -> None:
     bench = context.bench
     bench.wait_committed(ref)
     primary = bench.find_primary()
     bench.deployment.network.cut(proxy, primary.place.name)
 
 
-@when('the connections of "{proxy}" break once "{ref}" has run')
-def break_late(context: Any, proxy: str, ref: str) -> None:
+@when('the connections of "{proxy}" break once "{ref}" is committed')
+def break_after_commit(context: Any, proxy: str, ref: str) -> None:
     context.bench.wait_committed(ref)
-    break_all(context, proxy)
+    break_connections(context, proxy)
 
 
 @when('the connections of "{proxy}" to the primary break')
-def break_all(context: Any, proxy: str) -> None:
+def break_connections(context: Any, proxy: str) -> None:
     for session in tuple(context.bench.find_primary().sessions.values()):
         if session.client.name == proxy and session.counted:
             context.bench.act(session.lose)
     context.bench.run(sleep(0.01))
 
 
-@when('"{proxy}" is killed once "{ref}" has run')
-def kill_proxy_late(context: Any, proxy: str, ref: str) -> None:
+@when('"{proxy}" is killed once "{ref}" is committed')
+def kill_proxy_after_commit(context: Any, proxy: str, ref: str) -> None:
     context.bench.wait_committed(ref)
     context.bench.run(context.bench.deployment.kill_proxy(proxy))
 
 
-@given('databases that would take any number of connections')
-def take_any(context: Any) -> None:
+@given('databases without a connection limit')
+def remove_connection_limits(context: Any) -> None:
     bench = context.bench
     for database in bench.group.databases.values():
         database.limits = replace(database.limits, connection_limit=1000)
@@ -120,19 +120,25 @@
     bench.checks.append(check)
 
 
-@given('refusals must come within {seconds:g} s with a time to come back')
-def want_refusals(context: Any, seconds: float) -> None:
+@given('refusals must come within {seconds:g} s with a retry time')
+def set_refusal_limit(context: Any, seconds: float) -> None:
     bench = context.bench
 
     def check() -> None:
-        refused = [told for told in bench.told.values() if told.word != 'done']
-        assert len(refused) < len(bench.told)
+        refused = [
+            result
+            for result in bench.results.values()
+            if result.outcome_name != 'done'
+        ]
+        assert len(refused) < len(bench.results)
         assert refused
-        for told in refused:
-            refusal = told.outcome.err()
-            is_final = told.word == 'not run' and refusal.retry_after > 0
-            if told.spent > seconds or not is_final:
-                bench.ledger.break_promise(Promise.DEADLINE, str(told))
+        for result in refused:
+            refusal = result.outcome.err()
+            is_final = (
+                result.outcome_name == 'not run' and refusal.retry_after > 0
+            )
+            if result.spent > seconds or not is_final:
+                bench.ledger.break_promise(Promise.DEADLINE, str(result))
                 return
 
     bench.checks.append(check)
--- a/tests/features/steps/promise_operators_steps.py
+++ b/tests/features/steps/promise_operators_steps.py
@@ -1,4 +1,4 @@
-"""Let operators, the platform and instances come and go."""
+"""Define steps for configuration changes and leaving instances."""
 
 from asyncio import gather
 from collections.abc import Mapping
@@ -30,7 +30,7 @@
 def label(context: Any, name: str, number: int, state: str) -> None:
     bench = context.bench
     labels = {'state': state}
-    context.told = {name: bench.run(change(bench, name, number, labels))}
+    context.results = {name: bench.run(change(bench, name, number, labels))}
     if state == 'leaving':
         expect_drained(context, number)
 
@@ -47,7 +47,7 @@
             ),
         )
 
-    context.told = dict(zip((one, other), bench.run(both()), strict=True))
+    context.results = dict(zip((one, other), bench.run(both()), strict=True))
     bench.checks.append(lambda: check_colours(context, number))
 
 
@@ -55,7 +55,7 @@
 def colour(context: Any, name: str, number: int) -> None:
     bench = context.bench
     labels = {'colour': name}
-    context.told = {name: bench.run(change(bench, name, number, labels))}
+    context.results = {name: bench.run(change(bench, name, number, labels))}
     bench.checks.append(lambda: check_colours(context, number))
 
 
@@ -83,14 +83,16 @@
     expect_drained(context, number)
 
 
-@then('operator "{name}" is told "{word}"')
+@then('operator "{name}" gets the outcome "{word}"')
 def check_operator(context: Any, name: str, word: str) -> None:
-    assert context.told[name] == word, context.told
+    assert context.results[name] == word, context.results
 
 
-@then('exactly one operator is told "done"')
+@then('exactly one operator gets the outcome "done"')
 def check_winner(context: Any) -> None:
-    assert sorted(context.told.values()) == ['conflict', 'done'], context.told
+    assert sorted(context.results.values()) == ['conflict', 'done'], (
+        context.results
+    )
 
 
 async def change(
@@ -116,9 +118,11 @@
     bench = context.bench
     feed = bench.deployment.nodes['p3'].proxy.feed
     target = feed.snapshot.targets[TargetId(f'{GROUP}-db{number}')]
-    done = [name for name, told in context.told.items() if told == 'done']
+    done = [
+        name for name, result in context.results.items() if result == 'done'
+    ]
     if done != [target.labels.get('colour')]:
-        detail = f'{context.told} and {target.labels}'
+        detail = f'{context.results} and {target.labels}'
         bench.ledger.break_promise(Promise.CONFIGURATION, detail)
 
 
--- a/tests/features/steps/promise_platform_steps.py
+++ b/tests/features/steps/promise_platform_steps.py
@@ -1,4 +1,4 @@
-"""Let the platform fail, and proxies come and go at work."""
+"""Define steps for platform outages and starts and stops of proxies."""
 
 from asyncio import sleep
 from functools import partial
@@ -12,8 +12,8 @@
 from tests.ledger import Promise
 from tests.standins.platform import MemoryKeyValue
 
-# Callers at one proxy that want more connections than its share.
-CROWD = 6
+# More callers at one proxy than its share of connections.
+CALLERS_PER_PROXY = 6
 
 
 @when('callers work at all proxies for {seconds:g} s')
@@ -22,12 +22,14 @@
     context.bench.finish()
 
 
-@when('crowds start to work at all proxies for {seconds:g} s')
-def start_work(context: Any, seconds: float, size: int = CROWD) -> None:
+@when('many callers start to work at all proxies for {seconds:g} s')
+def start_work(
+    context: Any, seconds: float, size: int = CALLERS_PER_PROXY
+) -> None:
     bench = context.bench
     for proxy in bench.deployment.list_running():
         for number in range(size):
-            name = f'{proxy}-{number}-{len(bench.told)}'
+            name = f'{proxy}-{number}-{len(bench.results)}'
             bench.start(partial(bench.work, name, proxy, seconds))
 
 
@@ -41,7 +43,7 @@
     context.bench.act(context.bench.deployment.platform.recover)
 
 
-@when('the cuts are healed')
+@when('the network is restored')
 def heal(context: Any) -> None:
     context.bench.act(context.bench.deployment.network.heal)
 
@@ -51,7 +53,7 @@
     context.bench.deployment.platform.lose_next_answers(1)
 
 
-@when('the key-value service forgets its old changes')
+@when('the key-value service compacts its old changes')
 def compact(context: Any) -> None:
     store = context.bench.deployment.platform.store
     context.bench.act(lambda: store.commit([], [Put('/other', b'')]))
@@ -59,13 +61,13 @@
 
 
 @when('a member of the key-value service falls behind')
-def fall_behind(context: Any) -> None:
+def record_old_listing(context: Any) -> None:
     store = context.bench.deployment.platform.store
     context.old = store.list_matching(is_object)
 
 
-@when('proxies are led to the member that fell behind')
-def lead_behind(context: Any) -> None:
+@when('proxies read from the member that fell behind')
+def read_from_lagging(context: Any) -> None:
     listing = context.old
 
     async def list_old(*_: object) -> Any:
@@ -93,22 +95,22 @@
         context.bench.run(context.bench.deployment.kill_proxy(name))
 
 
-@when('"{proxy}" is told to stop')
+@when('"{proxy}" starts a graceful stop')
 def stop(context: Any, proxy: str) -> None:
     context.bench.is_stopping = True
     context.bench.start(lambda: context.bench.deployment.stop_proxy(proxy))
     context.bench.run(sleep(0.02))
 
 
-@given('no revision may ever go back')
+@given('no revision may decrease')
 def watch_revisions(context: Any) -> None:
     bench = context.bench
     monitor = RevisionMonitor(bench.deployment, bench.ledger)
     bench.watch(monitor.run())
 
 
-@then('all proxies have it in force within {seconds:g} s')
-def check_force(context: Any, seconds: float) -> None:
+@then('all proxies apply it within {seconds:g} s')
+def check_applied(context: Any, seconds: float) -> None:
     bench = context.bench
     listing = bench.deployment.platform.store.list_matching(is_object)
     newest = max(pair.revision for pair in listing.pairs)
