--- a/tests/features/steps/promise_failures_steps.py
+++ b/tests/features/steps/promise_failures_steps.py
@@ -95,7 +95,7 @@
 def break_connections(context: Any, proxy: str) -> None:
     for session in tuple(context.bench.find_primary().sessions.values()):
         if session.client.name == proxy and session.counted:
-            context.bench.act(session.lose)
+            context.bench.act(session.disconnect)
     context.bench.run(sleep(0.01))
 
 
--- a/tests/features/steps/sessions_steps.py
+++ b/tests/features/steps/sessions_steps.py
@@ -1,4 +1,4 @@
-"""Check session tokens and what a session's reads have to see."""
+"""Check session tokens and the points that reads must include."""
 
 from typing import Any
 
@@ -35,7 +35,7 @@
 
 
 def damage(context: Any) -> list[str]:
-    # The last letter may hold bits that decode to nothing.
+    # The last character is skipped, as some of its bits may be unused.
     valid = context.valid
     return [
         valid[:index] + replace_letter(letter) + valid[index + 1 :]
@@ -66,29 +66,29 @@
 
 
 @when('its token reaches another proxy that signs with "old" and knows "new"')
-def roam(context: Any) -> None:
+def resume_session(context: Any) -> None:
     token = context.keys.sign(context.session.points)
     context.session = SessionState(Monotonic(100))
     points = make_keys('old', 'new').verify(token).unwrap()
     context.session.merge_points(points)
 
 
-@when('these tokens are brought')
-def bring_tokens(context: Any) -> None:
-    special = {
-        'a valid one, cut by one': [context.valid[:-1]],
-        'a valid one, each byte': damage(context),
+@when('these tokens are presented')
+def present_tokens(context: Any) -> None:
+    malformed = {
+        'valid, truncated by one': [context.valid[:-1]],
+        'valid, each byte changed': damage(context),
         'a position far ahead': forge(context),
-        'five thousand letters': ['A' * 5000],
+        '5000 characters': ['A' * 5000],
     }
     context.tokens = [
         token
         for row in context.table
-        for token in special.get(row['token'], [row['token']])
+        for token in malformed.get(row['token'], [row['token']])
     ]
 
 
-@then('each is refused with cause "token" and says to open a new session')
+@then('each is refused with cause "token" and advice to open a new session')
 def check_refused(context: Any) -> None:
     assert len(context.tokens) > len(context.valid)
     for token in context.tokens:
@@ -125,13 +125,13 @@
         raise AssertionError('it started')
 
 
-@when('the barrier of "{group}" shows {point}')
-def settle(context: Any, group: str, point: str) -> None:
+@when('the barrier of "{group}" completes at {point}')
+def complete_barrier(context: Any, group: str, point: str) -> None:
     context.session.complete_barrier(GroupId(group), read_point(point))
 
 
-@when('a write to "{group}" ends unknown at {moment:f}')
-def lose_write(context: Any, group: str, moment: float) -> None:
+@when('a write to "{group}" has an unknown outcome at {moment:f}')
+def record_unknown_write(context: Any, group: str, moment: float) -> None:
     context.session.note_unknown_write(GroupId(group), Monotonic(moment))
 
 
--- a/tests/standins/databases.py
+++ b/tests/standins/databases.py
@@ -71,7 +71,7 @@
     def drop_transactions(self) -> None:
         """Undo the open writes of all clients."""
         for session in self.sessions.values():
-            session.doom()
+            session.abort_writes()
 
     def kill(self) -> None:
         """Die: break all connections; what runs may or may not commit."""
@@ -86,7 +86,7 @@
         self.in_service = {}
         self.group.note(self.place, EventKind.KILLED)
         for session in tuple(self.sessions.values()):
-            session.lose()
+            session.disconnect()
         self.slots = Semaphore(self.limits.slots)
         self._tell_change()
 
--- a/tests/standins/executors.py
+++ b/tests/standins/executors.py
@@ -1,4 +1,4 @@
-"""Run the statements of one connection, with its transaction."""
+"""Run the statements and transactions of one simulated connection."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,24 +15,24 @@
 from tests.standins.statements import Kind, Statement, refuse_read_only
 from tests.standins.stores import Worker
 
-Noting = Callable[[EventKind, str, Point | None], None]
+EventRecorder = Callable[[EventKind, str, Point | None], None]
 
 
 @dataclass(slots=True)
 class Transaction:
-    """Hold what an open transaction has written."""
+    """Hold the writes of an open transaction."""
 
     statements: list[str] = field(default_factory=list)
     changes_before: int = 0
-    # The database stopped leading and has undone the writes.
-    doomed: bool = False
+    # The database is no longer primary and has rolled back the writes.
+    is_aborted: bool = False
 
 
 class Executor:
-    """Run statements without waiting; locks and slots are the session's."""
+    """Run statements without waiting; the session has lock and slot."""
 
-    def __init__(self, member: Member, note: Noting) -> None:
-        """Work on the newest file of `member`."""
+    def __init__(self, member: Member, note: EventRecorder) -> None:
+        """Use the newest database file of `member`."""
         self.autocommit = True
         self.transaction: Transaction | None = None
         self._member = member
@@ -41,14 +41,14 @@
         self._generation = 0
 
     def has_open_writes(self) -> bool:
-        """Tell whether a transaction needs the write lock."""
+        """Return whether a transaction needs the write lock."""
         transaction = self.transaction
-        if transaction is None or transaction.doomed:
+        if transaction is None or transaction.is_aborted:
             return False
         return bool(transaction.statements)
 
-    def check_leading(self) -> None:
-        """Refuse writes unless the database leads."""
+    def check_primary(self) -> None:
+        """Refuse writes unless the database is the primary."""
         if self._member.role is not Role.PRIMARY:
             raise refuse_read_only()
 
@@ -62,7 +62,7 @@
             self.transaction = None
         if statement.kind in {Kind.ROLLBACK, Kind.SESSION}:
             return Answer()
-        if self.transaction is not None and self.transaction.doomed:
+        if self.transaction is not None and self.transaction.is_aborted:
             raise refuse_read_only()
         if statement.kind is Kind.WRITE:
             return self._write(statement)
@@ -72,21 +72,21 @@
         self._note(EventKind.RAN, statement.sql, None)
         return answer
 
-    def doom(self) -> None:
-        """Undo the open writes: the database leads no longer."""
+    def abort_writes(self) -> None:
+        """Roll back open writes as the database is no longer primary."""
         if self.transaction is not None and self.has_open_writes():
-            self.transaction.doomed = True
+            self.transaction.is_aborted = True
             self._roll_back()
 
     def close(self) -> None:
-        """Undo what is open and close the file."""
-        self.doom()
+        """Roll back the open transaction and close the file."""
+        self.abort_writes()
         if self._worker is not None:
             self._worker.close()
             self._worker = None
 
     def _write(self, statement: Statement) -> Answer:
-        self.check_leading()
+        self.check_primary()
         worker = self._open_worker()
         single = self.transaction is None and self.autocommit
         transaction = self.transaction or Transaction()
@@ -102,24 +102,24 @@
         self._note(EventKind.RAN, statement.sql, None)
         transaction.statements.append(statement.sql)
         if single:
-            return replace(answer, point=self._keep(transaction))
+            return replace(answer, point=self._commit_writes(transaction))
         self.transaction = transaction
         return answer
 
     def _commit(self, statement: Statement) -> Answer:
         transaction = self.transaction
         self.transaction = None
-        if transaction is not None and transaction.doomed:
+        if transaction is not None and transaction.is_aborted:
             raise refuse_read_only()
         point = None
         if transaction is not None and transaction.statements:
-            point = self._keep(transaction)
+            point = self._commit_writes(transaction)
         if statement.kind is Kind.BEGIN:
             self.transaction = Transaction()
             self._note(EventKind.BEGAN, statement.sql, None)
         return Answer(point=point)
 
-    def _keep(self, transaction: Transaction) -> Point | None:
+    def _commit_writes(self, transaction: Transaction) -> Point | None:
         worker = self._open_worker()
         worker.run('COMMIT')
         defines = any(map(_defines_schema, transaction.statements))
--- a/tests/standins/sessions.py
+++ b/tests/standins/sessions.py
@@ -1,4 +1,4 @@
-"""Serve one client's connection to one database."""
+"""Serve one client connection to one simulated database."""
 
 from asyncio import timeout
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class Session:
-    """Run the statements of one connection, one after another."""
+    """Run the statements of one connection in order."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         number: int,
         counted: bool,
     ) -> None:
-        """Belong to `database`; open its file with the first statement."""
+        """Connect to `database`; open its file with the first statement."""
         self.database = database
         self.client = client
         self.number = number
-        # Control connections don't count against the connection limit.
+        # False for control connections, which the connection limit ignores.
         self.counted = counted
         self.broken = False
         self.on_break: Callable[[], None] | None = None
@@ -40,7 +40,7 @@
         self._holds_lock = False
 
     async def exchange(self, sql: str) -> Answer:
-        """Carry a statement over the network and its answer back."""
+        """Send a statement over the network and return its answer."""
         network = self.database.group.network
         place = self.database.place
         await network.cross(self.client, place)
@@ -53,7 +53,7 @@
         return answer
 
     async def execute(self, sql: str) -> Answer:
-        """Run one statement; raise TargetRejected or its kin."""
+        """Run one statement; raise TargetRejected or a subclass."""
         statement = parse_statement(sql)
         if statement.kind is Kind.CALL:
             return await call_procedure(self.database, statement)
@@ -64,27 +64,27 @@
             raise
 
     def perform(self, statement: Statement) -> Answer:
-        """Run one statement without waiting, unless the connection broke."""
+        """Run one statement without waiting; raise TargetLost if broken."""
         if self.broken:
             raise TargetLost(self.database.name, 'connection closed')
         return self.executor.perform(statement)
 
-    def doom(self) -> None:
-        """Undo the open writes: the database leads no longer."""
-        self.executor.doom()
-        self._free_lock()
+    def abort_writes(self) -> None:
+        """Roll back open writes as the database is no longer primary."""
+        self.executor.abort_writes()
+        self._release_lock()
 
     def close(self) -> None:
-        """Undo what is open and leave; closing twice does no harm."""
+        """Roll back and disconnect; closing again has no effect."""
         if self.database.sessions.pop(self.number, None) is None:
             return
         self.broken = True
         self.executor.close()
-        self._free_lock()
+        self._release_lock()
         self._note(EventKind.CLOSED)
 
-    def lose(self) -> None:
-        """Break the connection from the database's side."""
+    def disconnect(self) -> None:
+        """Close the connection from the side of the database."""
         self.close()
         if self.on_break is not None:
             self.on_break()
@@ -93,19 +93,19 @@
         database = self.database
         await database.pass_freeze()
         async with AsyncExitStack() as owned:
-            owned.callback(self._free_lock)
-            # The lock comes first: waiters that hold slots would keep the
-            # transaction they wait for from ever reaching its COMMIT.
+            owned.callback(self._release_lock)
+            # The lock is acquired before a slot. If waiters for the lock held
+            # slots, the transaction that holds it could not run its COMMIT.
             if statement.kind is Kind.WRITE and not self._holds_lock:
-                await self._take_lock()
+                await self._acquire_lock()
             await owned.enter_async_context(database.slots)
             database.in_service[self.number] = (self, statement)
             owned.callback(database.in_service.pop, self.number, None)
             await database.work()
             return self.perform(statement)
 
-    async def _take_lock(self) -> None:
-        self.executor.check_leading()
+    async def _acquire_lock(self) -> None:
+        self.executor.check_primary()
         try:
             async with timeout(self.database.limits.lock_wait):
                 await self.database.write_lock.acquire()
@@ -114,7 +114,7 @@
             raise TargetRejected(1205, 'HY000', reason) from error
         self._holds_lock = True
 
-    def _free_lock(self) -> None:
+    def _release_lock(self) -> None:
         if self._holds_lock and not self.executor.has_open_writes():
             self._holds_lock = False
             self.database.write_lock.release()
