--- a/tests/features/ownership.feature
+++ b/tests/features/ownership.feature
@@ -1,10 +1,10 @@
 Feature: One owner of a group at a time
-  The owner alone uses the primary. It holds the group by a lease in the store,
-  or by the promises of all who could claim it.
+  Only the owner uses the primary. Its ownership is valid by a lease in the
+  store, or by the promises of all candidates not to claim.
 
-  Scenario: The best placed proxy owns a group
-    Three proxies start at once. Each sees the same order of the others; the one
-    in the primary's zone claims, and the others see that they need not.
+  Scenario: The proxy that ranks highest owns a group
+    Three proxies start at once and compute the same ranking. The one in the
+    zone of the primary claims; the others must not.
     Given proxies "north-1, east-1, west-1"
     Then "east-1" owns the group
     And the group was claimed 1 times
@@ -16,10 +16,9 @@
     When a caller of "settle" at "north-1" runs "READ turn"
     Then it is done with "1"
 
-  Scenario: The group goes on after its owner's death
-    A caller's writes fail for a moment and then go on. The owner's process is
-    gone; the others miss its answers, its lease lapses, and one of them claims.
-    No two owned the group at any time, and the token has grown.
+  Scenario: Another proxy takes over after the owner is killed
+    Writes fail until the lease of the killed owner has expired and another
+    proxy has claimed the group. Two proxies must never own it at once.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When "east-1" is killed
@@ -29,9 +28,9 @@
     And no two proxies owned the group at once
     And every acknowledged write is on the primary
 
-  Scenario: A process that comes back at once takes its group back
-    The owner's process dies and is started again within its lease. The store
-    still names its instance: nobody else can have claimed meanwhile.
+  Scenario: A process that restarts within its lease claims its group again
+    The owner is killed and starts again before its lease expires. Its key is
+    still in the store, so no other proxy can have claimed the group.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When "east-1" is killed
@@ -42,8 +41,8 @@
     And no write was done for 0.2 to 0.9 s at most
 
   Scenario: An outage of the store stops no writes
-    The store answers nobody for six seconds, six times the lease. The owner
-    still hears each candidate promise not to claim, and goes on.
+    The store is down for six times the lease. The owner goes on, as all
+    candidates keep sending promises not to claim.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the store is down for 6 s
@@ -52,10 +51,10 @@
     And no write was done for 0 to 0.2 s at most
     And no two proxies owned the group at once
 
-  Scenario: Without the store and with a candidate lost, the owner stops
-    The store is down and one candidate is dead. Nobody can say that the dead
-    one has not claimed just before; so the owner stops with its lease. A write
-    in the meantime is refused as not run, at once, and works after the outage.
+  Scenario: The owner stops when both the store and a candidate are lost
+    The lost candidate may have claimed the group just before the outage, so the
+    owner stops when its lease expires. Writes are refused as not run at once
+    until the outage is over.
     Given proxies "north-1, east-1, west-1"
     When the store goes down
     And "north-1" is killed
@@ -68,9 +67,9 @@
     And a caller of "settle" at "west-1" runs "WRITE turn 1"
     Then it is done
 
-  Scenario: A candidate is lost in the middle of an outage of the store
-    While the store does not answer it, a candidate promises for longer: it
-    can't claim anyway. So its loss stops no writes before the outage ends.
+  Scenario: A candidate is lost during an outage of the store
+    A candidate that the store does not answer can't claim and makes longer
+    promises, so its loss stops no writes before the outage ends.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the store goes down
@@ -83,8 +82,8 @@
     And no write was done for 0 to 0.2 s at most
 
   Scenario: The store refuses only the owner
-    The owner can't renew its lease while all others can. One of them renews it
-    for the owner, so its key stays and callers notice nothing.
+    Only the owner can't renew its lease. A peer renews it instead, so the owner
+    keeps its key and callers see no gap.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the store is cut off from "east-1"
@@ -94,9 +93,10 @@
     And no write was done for 0 to 0.2 s at most
     And no two proxies owned the group at once
 
-  Scenario: An owner that the store refuses stops
-    It can't delete its key, and a peer keeps its lease alive. Its word that the
-    reign is over must do, or callers would wait until its process has ended.
+  Scenario: An owner that the store refuses hands over
+    The owner can't delete its key, and a peer renews its lease. The release
+    that it announces to its peers must suffice; otherwise callers would wait
+    until its process has ended.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the store is cut off from "east-1"
@@ -108,20 +108,19 @@
     And no two proxies owned the group at once
 
   Scenario: An owner that is cut off has stopped before the next one starts
-    The owner reaches nobody, but the primary still reaches it. It stops by
-    itself with its lease and its promises, on its own clock. The next owner
-    acts only after that.
+    The owner reaches only the primary. By its own clock it stops once its lease
+    has expired, as well as the promises to it, before the next owner starts.
     Given proxies "north-1, east-1, west-1"
     When "east-1" is cut off from proxies and store
     And 3 s go by
     Then another proxy than "east-1" owns the group
     And no two proxies owned the group at once
 
-  Scenario: A process that was suspended tells nothing of an old primary
-    The owner sends a read and a write, then the instance is suspended for five
-    seconds, and the answers arrive. Another may own the group by now: the read
-    is not passed on, and of the write nobody can say that it was kept. The group
-    is claimed again once, when the lease is sure again.
+  Scenario: A suspended process returns no answer of a superseded primary
+    The owner is suspended for five seconds while a statement runs. When the
+    answer arrives, another proxy may own the group: a read is refused, the
+    outcome of a write is unknown. The group is claimed once more, under a valid
+    lease.
     Given proxies "east-1"
     When a caller of "settle" at "east-1" runs "READ turn" across a suspension
     Then it is refused as not run within 900 ms
@@ -132,14 +131,14 @@
     When a caller of "settle" at "east-1" runs "WRITE turn 1" across a suspension
     Then its outcome is unknown
 
-  Scenario: A new owner's token is above those before
+  Scenario: The token of a new owner is above all earlier ones
     Given proxies "north-1, east-1, west-1"
     When each proxy is killed in turn and started again after 3 s
     Then each claim's token is above the one before
 
   Scenario: A stopping proxy hands its group over
-    The owner is told to stop. It gives the group to the best placed peer, which
-    looks at the primary and goes on; callers at other proxies see no gap.
+    The stopping owner hands the group over to the peer that ranks highest, so
+    that callers at other proxies see no gap.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When "east-1" hands over
@@ -148,10 +147,10 @@
     And no write was done for 0 to 0.25 s at most
     And no two proxies owned the group at once
 
-  Scenario: A stopping owner keeps its group while the store is away
-    The store goes down in the moment in which the owner is told to stop. Given
-    up now, the group would have no owner before the store is back, and every
-    write would be refused. The owner serves on, and hands over then.
+  Scenario: A stopping owner keeps its group while the store is down
+    The store goes down as the owner begins to stop. Released now, the group
+    would have no owner and all writes would be refused until the store is back.
+    The owner hands over after that.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the store goes down
@@ -165,8 +164,8 @@
     And no two proxies owned the group at once
 
   Scenario: A stopping owner keeps its group while the store is slow
-    Each call takes the store 0.3 s, and a handover takes three. The owner hands
-    over once the store is prompt again; callers notice little.
+    Each call takes 0.3 s and a handover needs three, so the owner hands over
+    only once the store answers quickly again.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When each answer of the store takes 0.3 s
@@ -179,9 +178,9 @@
     And no write was done for 0 to 0.6 s at most
 
   Scenario: A slow store lets no lease lapse
-    Each answer takes a quarter of a second, longer than peers are given to renew
-    a lease for another. Asked one after the other they took more than a lease's
-    time; the store's own answer, which was there long before, ends the wait.
+    Each answer takes longer than a peer is given to relay a renewal. Relays by
+    one peer after the other took longer than the lease lasts; the direct answer
+    of the store has to cancel them.
     Given proxies "north-1, north-2, east-1, east-2, west-1, west-2, west-3"
     And a caller of "settle" at "west-1" writes every 20 ms
     When each answer of the store takes 0.26 s
@@ -190,9 +189,9 @@
     And the group was claimed 1 times
     And no write was done for 0 to 0.2 s at most
 
-  Scenario: What is open when the owner stops may end
-    A transaction is open at the primary. The stopping owner waits until it is
-    committed, then gives the group up; the transaction's caller notices nothing.
+  Scenario: A transaction that is open when the owner stops may commit
+    The stopping owner releases the group only after the open transaction has
+    been committed.
     Given proxies "north-1, east-1, west-1"
     When a caller of "settle" at "west-1" begins and runs "WRITE turn 1"
     And "east-1" begins to hand over
@@ -203,37 +202,36 @@
     Then another proxy than "east-1" owns the group
     And no two proxies owned the group at once
 
-  Scenario: No write's end is in doubt when the owner stops
-    Writes are under way at the primary in every moment. The stopping owner
-    starts no more of them and has the answers of all before its reign ends.
+  Scenario: No write has an unknown outcome when the owner stops
+    The stopping owner starts no more writes, and has the answers to all pending
+    ones before its ownership ends.
     Given proxies "north-1, east-1, west-1"
     And 8 callers of "settle" at "west-1" write without a pause
     When "east-1" hands over
     And 1 s goes by
     Then another proxy than "east-1" owns the group
-    And nobody is told that the end of a write is in doubt
+    And no write has an unknown outcome
 
   Scenario: A silent watch does not keep an old configuration in force
-    The store's watches hear nothing, although nothing is reported as broken. One
-    proxy asks how far the store is; what the watch does not bring is listed.
+    The watches deliver no changes and no errors. One proxy polls the revision
+    of the store; proxies whose watch lags behind it list the store again.
     Given proxies "north-1, east-1, west-1"
-    When the watches go deaf
+    When all watches stop delivering changes
     And the operator drops the route "browse"
     And 2.5 s go by
     Then no proxy lets a caller of "browse" in
 
-  Scenario: A proxy that the store does not serve learns the newest from peers
+  Scenario: A proxy that is cut off from the store gets changes from peers
     Given proxies "north-1, east-1, west-1"
     When the store is cut off from "west-1"
     And the operator drops the route "browse"
     And 1 s goes by
     Then no proxy lets a caller of "browse" in
 
-  Scenario: Who promised waits before it claims
-    The store was down and all keys have lapsed; the owner goes on by promises.
-    The store is back for all but the owner, and in this moment one candidate
-    misses the owner's answers. It claims, but its own promise still binds it:
-    the owner counts on it until then.
+  Scenario: A candidate waits for the end of its promise before it claims
+    After an outage all keys have expired, and promises extend the ownership.
+    The store is back for all but the owner, one candidate misses the heartbeats
+    of the owner. It may claim only after its own promise has expired.
     Given proxies "north-1, east-1, west-1"
     When the store is down for 2 s
     And the store is cut off from "east-1"
@@ -242,16 +240,16 @@
     Then another proxy than "east-1" owns the group
     And no two proxies owned the group at once
 
-  Scenario: Promises carry on only what still holds
-    An owner was held up until its lease and all promises were over. Another may
-    have owned the group since. Promises that come again prove nothing.
-    Given a reign that a promise held up
-    When 2 s go by without any
+  Scenario: Promises extend only an ownership that is still valid
+    After the lease and all promises have expired, another proxy may have owned
+    the group. New promises must not restore the ownership.
+    Given an ownership that a promise extends
+    When 2 s go by without a promise
     And the promise is made again
-    Then the reign does not hold
+    Then the ownership is not valid
 
-  Scenario: A promise stays withheld for one group as another is claimed
-    Guards against a claim that waits without end for promises made meanwhile.
+  Scenario: Promises stay withheld for one group when another is claimed
+    Guards against a claim that waits forever for promises made meanwhile.
     Given a process that has just started
     When it withholds promises to "east-1" for groups "songbook" and "ledger"
     And the group "songbook" is claimed
@@ -259,8 +257,8 @@
     When the group "ledger" is claimed
     Then it promises "east-1" again
 
-  Scenario: A process that starts is bound as the one before it
-    The one before may have promised just before it ended, and promises are kept
-    in memory alone.
+  Scenario: A process that starts is bound by promises of its predecessor
+    Promises are kept in memory only, and the previous process may have made one
+    just before it ended.
     Given a process that has just started
     Then it is bound to any owner for 4 s
--- a/tests/features/specs.feature
+++ b/tests/features/specs.feature
@@ -103,9 +103,9 @@
       | a promise is dated by its owner's own clock          | one owner at once                         | 7     |
       | who promised waits before it claims                  | one owner at once                         | 7     |
       | a process that starts is bound as if it had promised | one owner at once                         | 8     |
-      | promises carry on only what still holds              | no reign comes back once another followed | 8     |
+      | promises carry on only what still holds              | no ownership is resumed after a later one | 8     |
       | a shorter promise does not shorten a longer one      | one owner at once                         | 8     |
-      | a reign ends before its end is told                  | one owner at once                         | 9     |
+      | an ownership ends before it is released              | one owner at once                         | 9     |
       | the store gives the key away only when it is absent  | one owner at once                         | 2     |
 
   Scenario Outline: A succession without one of its safeguards
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -1,4 +1,4 @@
-"""Check who owns a group while proxies, store and links fail."""
+"""Check the ownership of groups while proxies, store and links fail."""
 
 from asyncio import create_task, sleep
 from typing import Any
@@ -62,10 +62,10 @@
 
     async def suspend() -> None:
         asked = create_task(context.callers.ask(session, text))
-        # The statement is at the target now, and its answer not here yet.
+        # The target has received the statement and not answered yet.
         await sleep(0.005)
         bench.suspended += SUSPENSION
-        # The store is not suspended: its clock has gone on.
+        # Only the proxy is suspended; the clock of the store goes on.
         bench.store.store.end_leases()
         context.told = await asked
 
@@ -108,14 +108,14 @@
     context.nodes.wait(0.5)
 
 
-@then('nobody is told that the end of a write is in doubt')
-def check_no_doubt(context: Any) -> None:
-    in_doubt = [
+@then('no write has an unknown outcome')
+def check_no_unknown_outcome(context: Any) -> None:
+    unknown = [
         told
         for told in context.callers.list_writes()
         if isinstance(told.outcome.err(), Unknown)
     ]
-    assert not in_doubt, in_doubt
+    assert not unknown, unknown
 
 
 @when('each proxy is killed in turn and started again after {seconds:g} s')
@@ -208,8 +208,8 @@
     context.nodes.time.act(context.nodes.network.heal)
 
 
-@when('the watches go deaf')
-def deafen(context: Any) -> None:
+@when('all watches stop delivering changes')
+def silence_watches(context: Any) -> None:
     context.nodes.store.is_deaf = True
 
 
@@ -256,7 +256,7 @@
 
 @then('no two proxies owned the group at once')
 def check_single_owner(context: Any) -> None:
-    # The watch itself fails when it sees two.
+    # The watch of the owners fails when it finds two at once.
     assert context.callers.owners
     assert not context.nodes.time.list_failures()
 
@@ -325,49 +325,49 @@
 
 
 def check_time(context: Any, limit: int) -> None:
-    """Demand that the answer came within `limit` milliseconds."""
+    """Check that the answer came within `limit` milliseconds."""
     spent = context.told.answered_at - context.told.asked_at
     assert spent * MILLISECONDS <= limit + 0.1, f'{spent:.3f} s'
 
 
-@given('a reign that a promise held up')
-def open_reign(context: Any) -> None:
+@given('an ownership that a promise extends')
+def extend_ownership(context: Any) -> None:
     bench = open_bench(context)
     bench.start('east-1')
     lease = bench.nodes['east-1'].service.find_lease()
-    context.held = PromisesReceived()
-    context.reign = GroupOwnership(
+    context.received = PromisesReceived()
+    context.ownership = GroupOwnership(
         GROUP,
         ProxyId('east-1'),
         OwnerToken(1),
         lease,
-        context.held,
+        context.received,
         bool,
     )
-    context.reign.candidates = frozenset((ProxyId('north-1'),))
-    assert context.reign.is_held()
+    context.ownership.candidates = frozenset((ProxyId('north-1'),))
+    assert context.ownership.is_held()
     stop_store(context)
     promise(context)
     bench.wait(0.6)
     promise(context)
     bench.wait(0.6)
-    assert context.reign.is_held()
+    assert context.ownership.is_held()
 
 
-@when('{seconds:g} s go by without any')
+@when('{seconds:g} s go by without a promise')
 def let_lapse(context: Any, seconds: float) -> None:
     context.nodes.wait(seconds)
 
 
 @when('the promise is made again')
 def promise(context: Any) -> None:
-    context.held.record(ProxyId('north-1'), read_boottime(), PROMISE_TIME)
-    context.reign.is_held()
+    context.received.record(ProxyId('north-1'), read_boottime(), PROMISE_TIME)
+    context.ownership.is_held()
 
 
-@then('the reign does not hold')
+@then('the ownership is not valid')
 def check_lapsed(context: Any) -> None:
-    assert not context.reign.is_held()
+    assert not context.ownership.is_held()
 
 
 @given('a process that has just started')
--- a/tests/specs/ownership_spec.py
+++ b/tests/specs/ownership_spec.py
@@ -1,4 +1,4 @@
-"""Specify who owns a group: a lease, promises, and a claim."""
+"""Specify the ownership of a group by lease, promises and claims."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -6,13 +6,13 @@
 
 from tests.specs.checking import Specification
 
-# Ticks for which a lease and a promise hold. Two make a difference between
-# "just renewed" and "about to end"; more add states and no new order of steps.
+# Ticks for which a lease and a promise are valid. Two ticks distinguish a new
+# one from one about to expire; more add states but no new order of steps.
 LEASE = 2
-# A candidate promises for longer while the store is away.
+# A candidate makes longer promises while the store is down.
 PROMISES = (1, 2)
 LONGEST = 2
-# No clock needs to be told apart beyond this age.
+# Ages above this one make no difference.
 OLDEST = 3
 # The first proxy owns the group and the second one may claim it.
 OWNER = 0
@@ -20,7 +20,7 @@
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """Name the safeguards that can be removed."""
 
     COUNT_FROM_SENDING = 'a lease counts from when its renewal was sent'
     DATE_BY_ECHO = "a promise is dated by its owner's own clock"
@@ -28,45 +28,45 @@
     RESTART_BOND = 'a process that starts is bound as if it had promised'
     CONTINUITY = 'promises carry on only what still holds'
     KEEP_LONGER = 'a shorter promise does not shorten a longer one'
-    END_FIRST = 'a reign ends before its end is told'
+    END_FIRST = 'an ownership ends before it is released'
     KEY_ABSENT = 'the store gives the key away only when it is absent'
 
 
 class Renewal(NamedTuple):
-    """Hold a renewal under way: its age, and whether the store took it."""
+    """Hold a pending renewal: its age, and whether the store accepted it."""
 
     age: int
-    is_taken: bool
+    is_accepted: bool
 
 
 class Promise(NamedTuple):
-    """Hold a promise under way."""
+    """Hold a promise in transit."""
 
-    # The age of the owner's reading that it repeats.
+    # The age of the clock reading of the owner that it carries.
     age: int
     length: int
 
 
 class Proxy(NamedTuple):
-    """Hold what one proxy believes, and the clocks that it goes by."""
+    """Hold the state of one proxy, with times by its own clock."""
 
     owns: bool = False
-    # It has held the group without a gap since it claimed it.
+    # Its ownership has been valid without a gap since the claim.
     is_unbroken: bool = False
     lease: int = 0
-    # What is left of the other's promise, by this proxy's clock.
+    # Time left of the promise that it received.
     promised: int = 0
-    # What is left of its own promise to the other.
-    bond: int = 0
+    # Time left of the promise that it made.
+    bound_for: int = 0
     is_withholding: bool = False
     is_frozen: bool = False
     renewal: Renewal | None = None
-    # Age of the other's clock reading that it got last.
+    # Age of the latest clock reading received from the other proxy.
     stamp: int | None = None
 
     @property
     def is_held(self) -> bool:
-        """Tell whether it counts itself as the owner."""
+        """Return whether it considers itself the owner."""
         if not (self.owns and self.is_unbroken):
             return False
         return self.lease > 0 or self.promised > 0
@@ -76,13 +76,13 @@
     """Hold two proxies and the store."""
 
     proxies: tuple[Proxy, Proxy]
-    # Who holds the key, and for how long by the store's clock.
+    # Whose key is stored, and for how long by the clock of the store.
     key: int | None
     key_left: int
     is_down: bool = False
     promise: Promise | None = None
-    # The owner's word that its reign has ended is under way.
-    is_told: bool = False
+    # The owner has announced that it released the group.
+    is_announced: bool = False
     # The candidate has claimed the group once.
     was_claimed: bool = False
 
@@ -100,7 +100,7 @@
         _OwnershipSteps(removed).list_steps,
         {
             'one owner at once': _has_one_owner,
-            'no reign comes back once another followed': _ends_for_good,
+            'no ownership is resumed after a later one': _is_never_resumed,
         },
     )
 
@@ -109,42 +109,42 @@
     return sum(proxy.is_held for proxy in fields['proxies']) < 2
 
 
-def _ends_for_good(fields: dict[str, Any]) -> bool:
-    # It would go on with the primary that the other has had replaced.
+def _is_never_resumed(fields: dict[str, Any]) -> bool:
+    # The owner would use a primary that its successor has replaced.
     owner: Proxy = fields['proxies'][OWNER]
     return not (fields['was_claimed'] and owner.is_held)
 
 
 class _OwnershipSteps:
-    """List what may happen next."""
+    """List the possible steps."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
 
     def list_steps(self, state: State) -> list[Step]:
         """List all steps from a state."""
-        steps = list(self._list_world_steps(state))
+        steps = list(self._list_environment_steps(state))
         for index, proxy in enumerate(state.proxies):
             if proxy.is_frozen:
-                thawed = proxy._replace(is_frozen=False)
-                steps.append((f'{index} thaws', put(state, index, thawed)))
+                resumed = proxy._replace(is_frozen=False)
+                steps.append((f'{index} resumes', put(state, index, resumed)))
                 continue
             steps += self._list_freezes(state, index)
             steps += self._list_lease_steps(state, index)
             steps += self._list_claims(state, index)
             steps += self._list_releases(state, index)
-            # The first proxy owns the group and the second one may claim it;
-            # promises go one way only, and the first never claims again.
+            # The first proxy owns the group and the second one may claim it, so
+            # only the second makes promises, and the first never claims again.
             if index == OWNER:
-                steps += self._list_heard_promises(state)
+                steps += self._list_received_promises(state)
             else:
                 steps += self._list_promises(state)
         return steps
 
-    def _list_world_steps(self, state: State) -> Iterator[Step]:
+    def _list_environment_steps(self, state: State) -> Iterator[Step]:
         yield 'time passes', self._tick(state, is_paused=False)
         if state.is_down:
-            # While it is down, leases either go on or stand still.
+            # During an outage, leases either expire or are paused.
             yield 'time passes, leases pause', self._tick(state, is_paused=True)
             yield 'the store is back', state._replace(is_down=False)
         else:
@@ -170,11 +170,11 @@
         renewal = proxy.renewal
         if renewal is not None:
             age = min(OLDEST, renewal.age + 1)
-            renewal = Renewal(age, renewal.is_taken)
+            renewal = Renewal(age, renewal.is_accepted)
         return proxy._replace(
             lease=lease,
             promised=promised,
-            bond=max(0, proxy.bond - 1),
+            bound_for=max(0, proxy.bound_for - 1),
             stamp=_grow(proxy.stamp),
             renewal=renewal,
             is_unbroken=proxy.is_unbroken and not breaks,
@@ -186,31 +186,34 @@
         yield f'{index} freezes', put(state, index, frozen)
         if index == CANDIDATE:
             is_bound = self._removed is not Safeguard.RESTART_BOND
-            fresh = Proxy(bond=LONGEST if is_bound else 0)
-            yield f'{index} starts anew', put(state, index, fresh)
+            fresh = Proxy(bound_for=LONGEST if is_bound else 0)
+            yield f'{index} restarts', put(state, index, fresh)
 
     def _list_lease_steps(self, state: State, index: int) -> Iterator[Step]:
         proxy = state.proxies[index]
         renewal = proxy.renewal
         if renewal is None:
-            sent = proxy._replace(renewal=Renewal(0, is_taken=False))
+            sent = proxy._replace(renewal=Renewal(0, is_accepted=False))
             yield f'{index} sends a renewal', put(state, index, sent)
             return
-        if not renewal.is_taken:
+        if not renewal.is_accepted:
             yield (
-                f'{index} gives its renewal up',
+                f'{index} abandons its renewal',
                 put(state, index, proxy._replace(renewal=None)),
             )
             return
         counts = self._removed is not Safeguard.COUNT_FROM_SENDING
         left = max(0, LEASE - renewal.age) if counts else LEASE
-        # The store has renewed it: nobody else can have had the key.
+        # The store renewed the lease, so nobody else can have had the key.
         kept = proxy._replace(
             renewal=None,
             lease=max(proxy.lease, left),
             is_unbroken=proxy.is_unbroken or (proxy.owns and left > 0),
         )
-        yield f'{index} hears that its lease goes on', put(state, index, kept)
+        yield (
+            f'{index} receives the answer to its renewal',
+            put(state, index, kept),
+        )
 
     def _list_store_steps(
         self,
@@ -219,10 +222,12 @@
         proxy: Proxy,
     ) -> Iterator[Step]:
         renewal = proxy.renewal
-        if state.is_down or renewal is None or renewal.is_taken:
+        if state.is_down or renewal is None or renewal.is_accepted:
             return
         if state.key == index:
-            taken = proxy._replace(renewal=Renewal(renewal.age, is_taken=True))
+            taken = proxy._replace(
+                renewal=Renewal(renewal.age, is_accepted=True)
+            )
             renewed = put(state, index, taken)._replace(key_left=LEASE)
             yield f'the lease of {index} is renewed', renewed
 
@@ -230,20 +235,20 @@
         owner, proxy = state.proxies
         if not owner.is_frozen and proxy.stamp != 0 and not proxy.owns:
             read = proxy._replace(stamp=0)
-            yield 'a reading comes', put(state, CANDIDATE, read)
+            yield 'a clock reading arrives', put(state, CANDIDATE, read)
         if proxy.stamp is None or proxy.is_withholding or proxy.owns:
             return
         for length in PROMISES:
             keeps = self._removed is not Safeguard.KEEP_LONGER
-            bond = max(proxy.bond, length) if keeps else length
-            bound = put(state, CANDIDATE, proxy._replace(bond=bond))
+            bound_for = max(proxy.bound_for, length) if keeps else length
+            bound = put(state, CANDIDATE, proxy._replace(bound_for=bound_for))
             promise = Promise(proxy.stamp, length)
             yield (
                 f'a promise for {length} is sent',
                 bound._replace(promise=promise),
             )
 
-    def _list_heard_promises(self, state: State) -> Iterator[Step]:
+    def _list_received_promises(self, state: State) -> Iterator[Step]:
         proxy = state.proxies[OWNER]
         if state.promise is None:
             return
@@ -254,35 +259,38 @@
             promised = max(proxy.promised, left)
             proxy = proxy._replace(promised=promised)
         after = put(state, OWNER, proxy)
-        yield 'a promise is heard', after._replace(promise=None)
+        yield 'a promise arrives', after._replace(promise=None)
 
     def _list_releases(self, state: State, index: int) -> Iterator[Step]:
         proxy = state.proxies[index]
         ends = self._removed is not Safeguard.END_FIRST
-        if index == OWNER and proxy.owns and not state.is_told:
+        if index == OWNER and proxy.owns and not state.is_announced:
             ended = _give_up(proxy) if ends else proxy
-            told = put(state, OWNER, ended)._replace(is_told=True)
-            yield f'{index} ends its reign and says so', told
-        if index == CANDIDATE and state.is_told and proxy.bond:
-            free = put(state, CANDIDATE, proxy._replace(bond=0))
-            yield f'{index} hears of the end', free
+            released = put(state, OWNER, ended)._replace(is_announced=True)
+            yield f'{index} releases the group', released
+        if index == CANDIDATE and state.is_announced and proxy.bound_for:
+            free = put(state, CANDIDATE, proxy._replace(bound_for=0))
+            yield f'{index} learns of the release', free
 
     def _list_claims(self, state: State, index: int) -> Iterator[Step]:
         proxy = state.proxies[index]
         if proxy.owns and not proxy.is_held:
-            yield f'{index} gives up', put(state, index, _give_up(proxy))
+            yield (
+                f'{index} ends its ownership',
+                put(state, index, _give_up(proxy)),
+            )
             return
         if proxy.owns or index == OWNER:
             return
         if not proxy.is_withholding:
             firm = proxy._replace(is_withholding=True)
-            yield f'{index} promises no more', put(state, index, firm)
+            yield f'{index} withholds promises', put(state, index, firm)
             return
-        is_bound = proxy.bond and self._removed is not Safeguard.BOND
-        is_taken = state.key is not None
+        is_bound = proxy.bound_for and self._removed is not Safeguard.BOND
+        is_accepted = state.key is not None
         if self._removed is Safeguard.KEY_ABSENT:
-            is_taken = False
-        if state.is_down or is_bound or is_taken:
+            is_accepted = False
+        if state.is_down or is_bound or is_accepted:
             return
         claimed = proxy._replace(
             owns=True,
--- a/tests/specs/returns_spec.py
+++ b/tests/specs/returns_spec.py
@@ -1,4 +1,4 @@
-"""Specify who owns a group while its store comes back from copies."""
+"""Specify the ownership of a group across restores of the store."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -6,20 +6,20 @@
 
 from tests.specs.checking import Specification
 
-# Ticks for which a lease and a promise hold, and for which all but an owner
-# wait after they have heard of a return.
+# Ticks for which a lease and a promise are valid, and for which proxies other
+# than an owner wait after they learn of a restore.
 LEASE = 2
 PROMISE = 2
 WAIT = 2
 LAST_ERA = 2
-# Either proxy may own the group; the second one promises the first.
+# Either proxy may own the group; only the second makes promises.
 OWNER = 0
 CANDIDATE = 1
 PROXIES = (OWNER, CANDIDATE)
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """Name the safeguards that can be removed."""
 
     LEASE_ERA = 'a lease of an older era is not renewed'
     RETURN_WAIT = 'who claims after a return waits for older leases'
@@ -29,30 +29,31 @@
 
 
 class Proxy(NamedTuple):
-    """Hold what one proxy believes."""
+    """Hold the state of one proxy."""
 
     era: int = 0
     owns: bool = False
-    # The era of its claim, and so of the lease that it claimed under.
+    # The era of its claim and of its lease.
     claimed_in: int = 0
-    # What is left of the proofs of its ownership, by its own clock.
+    # Time left of its lease and of the promise that it received, by its own
+    # clock.
     lease: int = 0
     promised: int = 0
-    # What is left of its own promise to the other one.
-    bond: int = 0
-    # What is left of its wait after a return.
+    # Time left of the promise that it made.
+    bound_for: int = 0
+    # Time left of its wait after a restore.
     wait: int = 0
 
     @property
     def is_held(self) -> bool:
-        """Tell whether it counts itself as the owner."""
+        """Return whether it considers itself the owner."""
         return self.owns and (self.lease > 0 or self.promised > 0)
 
 
 class Keys(NamedTuple):
-    """Hold what the store has of a group."""
+    """Hold what the store contains for a group."""
 
-    # Whose key is there, -1 for none, and for how long by its lease.
+    # Whose key is stored, -1 for none, and for how long by its lease.
     holder: int = -1
     left: int = 0
     # The era of the latest claim.
@@ -60,11 +61,11 @@
 
 
 class State(NamedTuple):
-    """Hold two proxies, the store, and the copy that it may come back from."""
+    """Hold two proxies, the store, and the snapshot for its next restore."""
 
     proxies: tuple[Proxy, Proxy]
     store: Keys
-    copy: Keys
+    snapshot: Keys
     era: int = 0
 
 
@@ -72,7 +73,7 @@
 
 
 def specify_returns(removed: Safeguard | None = None) -> Specification:
-    """Return an owner whose claim the copy lacks, and a candidate."""
+    """Return an owner whose claim the snapshot lacks, and a candidate."""
     owner = Proxy(owns=True, lease=LEASE)
     return Specification(
         'returns',
@@ -92,7 +93,7 @@
 
 
 class _ReturnSteps:
-    """List what may happen next."""
+    """List the possible steps."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
@@ -110,15 +111,15 @@
     def _list_lease_steps(self, state: State, index: int) -> Iterator[Step]:
         proxy = state.proxies[index]
         if proxy.era < state.era:
-            learnt = proxy._replace(era=state.era, wait=WAIT)
-            yield f'{index} hears of the era', _put(state, index, learnt)
+            informed = proxy._replace(era=state.era, wait=WAIT)
+            yield f'{index} learns the era', _put(state, index, informed)
         if not proxy.owns:
             return
         renewed = _put(state, index, proxy._replace(lease=LEASE))
         if proxy.claimed_in < state.era:
-            # The id may be that of another lease, which the store renews.
+            # The store may renew another lease that has the same id.
             if self._removed is Safeguard.LEASE_ERA:
-                yield f'{index} renews a lease of before', renewed
+                yield f'{index} renews a lease of an older era', renewed
         elif state.store.holder == index:
             keys = state.store._replace(left=LEASE)
             yield f'{index} renews its lease', renewed._replace(store=keys)
@@ -129,22 +130,22 @@
             return
         ended = proxy._replace(owns=False, lease=0, promised=0)
         if not proxy.is_held and self._removed is not Safeguard.HELD:
-            yield f'{index} ends', _put(state, index, ended)
+            yield f'{index} ends its ownership', _put(state, index, ended)
             return
         is_other = state.store.holder not in {-1, index}
         is_newest = state.store.claimed_in == state.era == proxy.era
         if is_other and is_newest:
-            yield f'{index} sees another', _put(state, index, ended)
+            yield f'{index} sees another owner', _put(state, index, ended)
 
     def _list_claims(self, state: State, index: int) -> Iterator[Step]:
         proxy = state.proxies[index]
-        # A comparison with revisions of another era never holds.
+        # Comparisons with revisions of another era always fail.
         if proxy.era != state.era:
             return
         if proxy.owns:
-            may_claim = self._may_continue(state, index)
+            may_claim = self._can_continue(state, index)
         else:
-            may_claim = self._may_follow(state, index)
+            may_claim = self._can_follow(state, index)
         if may_claim:
             claimed = proxy._replace(
                 owns=True,
@@ -159,8 +160,8 @@
                 ),
             )
 
-    def _may_continue(self, state: State, index: int) -> bool:
-        """Tell whether an owner puts its key back."""
+    def _can_continue(self, state: State, index: int) -> bool:
+        """Return whether an owner may write its key again."""
         if state.store.holder == index and state.store.claimed_in == state.era:
             return False
         is_kept = self._removed is Safeguard.HELD
@@ -168,8 +169,8 @@
             return False
         return state.store.holder == -1 or state.store.claimed_in < state.era
 
-    def _may_follow(self, state: State, index: int) -> bool:
-        """Tell whether who is no owner may claim."""
+    def _can_follow(self, state: State, index: int) -> bool:
+        """Return whether a proxy that is no owner may claim."""
         proxy = state.proxies[index]
         if state.store.holder not in {-1, index}:
             return False
@@ -179,7 +180,7 @@
                     return True
             if proxy.wait and self._removed is not Safeguard.RETURN_WAIT:
                 return False
-        return not proxy.bond or self._removed is Safeguard.BOND
+        return not proxy.bound_for or self._removed is Safeguard.BOND
 
 
 def _list_store_steps(state: State) -> Iterator[Step]:
@@ -191,13 +192,13 @@
         'time passes',
         state._replace(proxies=(_age(owner), _age(candidate)), store=aged),
     )
-    yield 'a copy is made', state._replace(copy=store)
+    yield 'a snapshot is taken', state._replace(snapshot=store)
     if state.era < LAST_ERA:
-        left = LEASE if state.copy.holder >= 0 else 0
+        left = LEASE if state.snapshot.holder >= 0 else 0
         yield (
-            'the store comes back',
+            'the store is restored',
             state._replace(
-                store=state.copy._replace(left=left),
+                store=state.snapshot._replace(left=left),
                 era=state.era + 1,
             ),
         )
@@ -207,7 +208,7 @@
     owner, candidate = state.proxies
     if candidate.owns or not owner.is_held:
         return
-    promised = _put(state, CANDIDATE, candidate._replace(bond=PROMISE))
+    promised = _put(state, CANDIDATE, candidate._replace(bound_for=PROMISE))
     yield (
         'a promise is made',
         _put(promised, OWNER, owner._replace(promised=PROMISE)),
@@ -218,7 +219,7 @@
     return proxy._replace(
         lease=max(0, proxy.lease - 1),
         promised=max(0, proxy.promised - 1),
-        bond=max(0, proxy.bond - 1),
+        bound_for=max(0, proxy.bound_for - 1),
         wait=max(0, proxy.wait - 1),
     )
 
