--- a/src/sedgeshunt/registry/__init__.py
+++ b/src/sedgeshunt/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what lasts in the platform's store, and follow what others keep."""
+"""Read, write and watch the entries in the platform's store."""
--- a/src/sedgeshunt/registry/changes.py
+++ b/src/sedgeshunt/registry/changes.py
@@ -1,4 +1,4 @@
-"""Hold the store's latest changes, for those who follow them from here."""
+"""Keep the latest changes of the store for peers that follow them."""
 
 from collections import deque
 from collections.abc import Iterable, Sequence
@@ -8,46 +8,46 @@
 from sedgeshunt.identifiers import Revision
 from sedgeshunt.ports import KeyValue, WatchEvent
 
-# Changes that are kept. A follower that is further behind gets all items; a
-# fleet of 1,500 that starts makes this many in a second.
-MOST_CHANGES = 2000
+# Number of changes that are kept. A follower that is further behind gets a
+# snapshot; a fleet of 1,500 makes this many changes a second when it starts.
+MAX_CHANGES = 2000
 
 
 class StoreChanges(Struct, frozen=True):
-    """Hold what changed in the store from one revision to another."""
+    """Hold the changes of the store between two revisions."""
 
-    # Who is not as far as this has missed something.
+    # A receiver whose revision is lower has missed changes.
     after: Revision
     revision: Revision
     events: Sequence[WatchEvent] = ()
-    # The events are all items that there are, and what is not there is gone.
+    # The events are a snapshot: items that they lack have been deleted.
     is_whole: bool = False
 
 
 class ChangeLog:
-    """Keep the latest changes in the order in which they were made."""
+    """Keep the latest changes in the order of their revisions."""
 
     def __init__(self) -> None:
-        """Know of no change."""
+        """Start without any change."""
         self.revision = Revision(0)
-        self._begins_after = Revision(0)
+        self._complete_after = Revision(0)
         self._events: deque[WatchEvent] = deque()
 
-    def begin(self, revision: Revision) -> None:
-        """Start anew after a listing of all items."""
+    def reset(self, revision: Revision) -> None:
+        """Discard all changes after a listing of all items."""
         self.revision = revision
-        self._begins_after = revision
+        self._complete_after = revision
         self._events.clear()
 
-    def note(self, events: Iterable[WatchEvent], revision: Revision) -> None:
-        """Take in all changes up to a revision."""
+    def append(self, events: Iterable[WatchEvent], revision: Revision) -> None:
+        """Append all changes up to a revision."""
         self._events.extend(events)
         self.revision = Revision(max(self.revision, revision))
-        while len(self._events) > MOST_CHANGES:
-            self._begins_after = self._events.popleft().revision
+        while len(self._events) > MAX_CHANGES:
+            self._complete_after = self._events.popleft().revision
 
-    def measure_latest(self) -> int:
-        """Return how many bytes the latest change brought."""
+    def measure_latest_size(self) -> int:
+        """Return the size of the latest changed value in bytes."""
         latest = self._events[-1].value if self._events else None
         return 0 if latest is None else len(latest)
 
@@ -56,8 +56,8 @@
         revision: Revision,
         items: Iterable[KeyValue],
     ) -> StoreChanges:
-        """Return what changed after a revision, all `items` if unknown."""
-        if revision < self._begins_after:
+        """Return the changes after a revision, or a snapshot of `items`."""
+        if revision < self._complete_after:
             events = tuple(
                 WatchEvent(pair.key, pair.value, pair.revision, pair.created)
                 for pair in items
--- a/src/sedgeshunt/registry/configuration.py
+++ b/src/sedgeshunt/registry/configuration.py
@@ -1,4 +1,4 @@
-"""Hold the newest configuration in force; it never goes back."""
+"""Apply configurations in the order of their versions."""
 
 from asyncio import Event, get_running_loop
 from collections.abc import Callable
@@ -28,17 +28,18 @@
     KnownTarget,
     PlatformDocuments,
 )
-from sedgeshunt.registry.feeds import LONG_DOCUMENT, LONGEST_SPREAD
+from sedgeshunt.registry.feeds import LARGE_DOCUMENT_BYTES, MAX_SPREAD_TIME
 from sedgeshunt.registry.store_view import StoreView
 from sedgeshunt.revisions import NOTHING, read_count, read_era
 
 NAME_SELECTOR = 'name='
-# Targets have written their entries again so long after a return of the store.
+# After a restore of the store, targets write their entries again within this
+# time.
 RELIST_TIME = Seconds(2.5)
 
 
 class LiveConfiguration:
-    """Follow the declared routes and groups, and the targets that are up."""
+    """Follow the declared routes and groups, and the live targets."""
 
     def __init__(
         self,
@@ -46,12 +47,12 @@
         documents: PlatformDocuments,
         decisions: DecisionLog,
     ) -> None:
-        """Follow `view` from now on."""
+        """Follow the changes of `view`."""
         self.declared = DeclaredConfiguration()
-        # The item that is in force, for peers that the store does not serve.
+        # The applied item, for peers that the store does not answer.
         self.source: KeyValue | None = None
-        # The latest document that was turned down.
-        self._older = b''
+        # The latest document that was rejected.
+        self._rejected_document = b''
         self._applied_at = Boottime(0)
         self._view = view
         self._documents = documents
@@ -68,23 +69,23 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether any configuration is in force."""
+        """Return whether any configuration is in force."""
         return self.declared.version > 0
 
     @property
     def version(self) -> int:
-        """Return the operator's version of what is in force, 0 for nothing."""
+        """Return the operator's version in force, 0 before the first one."""
         return self.declared.version
 
     def find_newer_document(self, known: int) -> bytes | None:
         """Return the document in force if it is newer than version `known`."""
         if self.source is None or self.version <= known:
             return None
-        # Followers are handed a long one in turn; each of their peers would
-        # else send it to them meanwhile.
+        # Followers receive a large document one after the other. Without this
+        # check each of their peers would send it to them meanwhile.
         document = self.source.value
-        is_handed = read_boottime() - self._applied_at < LONGEST_SPREAD
-        if known and is_handed and len(document) >= LONG_DOCUMENT:
+        is_handed = read_boottime() - self._applied_at < MAX_SPREAD_TIME
+        if known and is_handed and len(document) >= LARGE_DOCUMENT_BYTES:
             return None
         return document
 
@@ -93,15 +94,15 @@
         await self._loaded.wait()
 
     def find_route(self, database: TrafficClass) -> Route | None:
-        """Return the route that callers of `database` take."""
+        """Return the route for callers of `database`."""
         return self.declared.routes.get(database)
 
     def find_group(self, route: Route) -> GroupId:
-        """Return the group that a route leads to."""
+        """Return the group of a route."""
         return GroupId(route.groups.removeprefix(NAME_SELECTOR))
 
     def identify(self, key: KeyDigest, route: Route) -> Identity | None:
-        """Tell who calls with a key, None for one whom the route shuts out."""
+        """Return the caller with a key, None if the route doesn't admit it."""
         declared = self.declared
         customers = declared.customers
         if customers is None:
@@ -114,28 +115,28 @@
         return None
 
     def is_key_valid(self, identity: Identity) -> bool:
-        """Tell whether what is known here leaves a caller its key."""
+        """Return whether the key of a caller is still valid."""
         declared = self.declared
         customers = declared.customers
         if customers is None or identity.customer == NOBODY:
             return True
-        # Who let it in may know a newer version than this proxy.
+        # The proxy that admitted it may have a newer version in force.
         if identity.version > declared.version:
             return True
         return customers.find_holder(identity.key) == identity.customer
 
     def find_limit(self, customer: CustomerId) -> CustomerLimit | None:
-        """Return how much a customer may ask, None for all it likes."""
+        """Return the limit of a customer, None if it has none."""
         customers = self.declared.customers
         return None if customers is None else customers.find_limit(customer)
 
     def find_part(self, customer: CustomerId) -> float:
-        """Return a customer's part of all that customers may ask."""
+        """Return the share of a customer in the sum of all limits."""
         customers = self.declared.customers
         return 0 if customers is None else customers.find_part(customer)
 
     def has_customers(self) -> bool:
-        """Tell whether callers are told apart by customer."""
+        """Return whether the configuration declares customers."""
         return self.declared.customers is not None
 
     def list_groups(self) -> list[Group]:
@@ -157,9 +158,12 @@
         )
 
     def apply(self, pair: KeyValue) -> None:
-        """Bring an item into force if it is newer than what is."""
+        """Apply an item if its version is newer than the one in force."""
         source = self.source
-        if source is not None and pair.value in (source.value, self._older):
+        if source is not None and pair.value in (
+            source.value,
+            self._rejected_document,
+        ):
             return
         try:
             declared = self._documents.read_declared(pair)
@@ -169,7 +173,8 @@
                 Decision(DecisionKind.CONFIGURATION_REFUSED, reasons=reasons),
             )
             return
-        # The operator's version, as revisions go back with the store.
+        # Compared by the operator's version, as a restore of the store resets
+        # revisions.
         if declared.version <= self.version:
             self._refuse_older(pair, declared)
             return
@@ -190,7 +195,7 @@
         self._notify()
 
     def apply_copy(self, document: bytes) -> None:
-        """Bring a peer's copy into force if it is newer than what is."""
+        """Apply a document from a peer if it is newer than the one in force."""
         key = self._documents.configuration_key
         self.apply(KeyValue(key, document, NOTHING))
 
@@ -210,18 +215,19 @@
             self._notify()
 
     def _drop_unlisted(self) -> None:
-        """Drop the targets that the store does not list any more."""
-        # A copy lacks what was written after it: a primary without an entry
-        # would be replaced though it is about to write its entry again.
+        """Drop the targets that the store no longer lists."""
+        # A restored store lacks entries written after its snapshot. Dropped at
+        # once, a primary that is about to write its entry again would be
+        # replaced.
         wait = RELIST_TIME - self._view.measure_era_age()
         unlisted = [key for key in self._targets if not self._view.get(key)]
         if unlisted and wait > 0:
-            get_running_loop().call_later(wait, self._end_relisting)
+            get_running_loop().call_later(wait, self._finish_relisting)
             return
         for key in unlisted:
             self._read_target(key)
 
-    def _end_relisting(self) -> None:
+    def _finish_relisting(self) -> None:
         self._drop_unlisted()
         self._notify()
 
@@ -234,7 +240,7 @@
         try:
             self._targets[key] = self._documents.read_target(pair)
         except SedgeshuntError as unreadable:
-            # Told once for each change, however often it is read.
+            # Recorded once for each change, however often it is read.
             if self._unreadable.get(key) == pair.revision:
                 return
             self._unreadable[key] = pair.revision
@@ -246,7 +252,7 @@
     def _refuse_older(
         self, pair: KeyValue, declared: DeclaredConfiguration
     ) -> None:
-        self._older = pair.value
+        self._rejected_document = pair.value
         why = f'version {declared.version} is not newer than {self.version}'
         self._decisions.record(
             Decision(DecisionKind.CONFIGURATION_REFUSED, reasons={'why': why}),
--- a/src/sedgeshunt/registry/current_store.py
+++ b/src/sedgeshunt/registry/current_store.py
@@ -1,4 +1,4 @@
-"""Use a store that may go back in its newest era only."""
+"""Accept answers of the store in its newest era only."""
 
 from collections.abc import (
     AsyncGenerator,
@@ -25,44 +25,45 @@
 )
 from sedgeshunt.revisions import NOTHING, read_era
 
-OLDER_ERA = 'it has come back from a copy since it was asked'
+RESTORED_MEANWHILE = 'it was restored from a snapshot during the request'
 
 
 class CurrentStore(KeyValueService):
-    """Refuse what a store answered in an era before its newest one.
+    """Reject answers that the store gave in an older era.
 
-    The store gives revisions and the ids of leases out again: in another era
-    the same number names another change, or somebody else's lease.
+    A new era begins when the store is restored from a snapshot. It reuses
+    revisions and lease ids: in another era the same number identifies another
+    change, or the lease of another instance.
     """
 
     def __init__(self, store: KeyValueService, decisions: DecisionLog) -> None:
-        """Use `store`; its first answer tells the era."""
+        """Wrap `store`; its first answer sets the era."""
         self._store = store
         self._decisions = decisions
         self._era: Era | None = None
-        self._learned_at = Boottime(0)
+        self._era_known_since = Boottime(0)
         self._listeners: list[Callable[[], None]] = []
 
     @property
     def era(self) -> Era:
-        """Return the newest era that is known."""
+        """Return the newest known era."""
         return FIRST_ERA if self._era is None else self._era
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Call `listener` when the store has come back from a copy."""
+        """Call `listener` when the store has been restored."""
         self._listeners.append(listener)
 
     def measure_era_age(self) -> Seconds:
         """Return for how long the newest era has been known."""
-        return Seconds(read_boottime() - self._learned_at)
+        return Seconds(read_boottime() - self._era_known_since)
 
     def observe_era(self, era: Era) -> None:
-        """Record an era that the store or a peer has told."""
+        """Record an era that the store or a peer has reported."""
         before = self._era
         if before is not None and era <= before:
             return
         self._era = era
-        self._learned_at = read_boottime()
+        self._era_known_since = read_boottime()
         if before is None:
             return
         reasons = {'era': str(era), 'before': str(before)}
@@ -80,9 +81,9 @@
     ) -> Listing:
         """Read all pairs under `prefix`; raise PlatformUnavailable."""
         listing = await self._store.list_prefix(prefix, may_be_old=may_be_old)
-        self._follow()
+        self._observe_store_era()
         if read_era(listing.revision) != self.era:
-            raise PlatformUnavailable(OLDER_ERA)
+            raise PlatformUnavailable(RESTORED_MEANWHILE)
         return listing
 
     async def commit(
@@ -91,13 +92,13 @@
         changes: Sequence[Put | Delete],
     ) -> CommitResult:
         """Apply all or nothing; raise PlatformUnavailable or AnswerLost."""
-        asked_in = self._era
-        if not all(map(self._can_hold, compares)):
+        requested_in = self._era
+        if not all(map(self._is_comparable, compares)):
             return CommitResult(succeeded=False, revision=NOTHING)
         done = await self._store.commit(compares, changes)
-        self._follow()
-        if done.succeeded and not self._is_newest(asked_in, done.revision):
-            # Its conditions may have held for other changes than they name.
+        self._observe_store_era()
+        if done.succeeded and not self._is_newest(requested_in, done.revision):
+            # Its comparisons may have matched reused revisions.
             raise AnswerLost(changes[0].key)
         current = [
             pair for pair in done.current if read_era(pair.revision) == self.era
@@ -118,44 +119,47 @@
         async with AsyncExitStack() as owned:
             if isinstance(watch, AsyncGenerator):
                 owned.push_async_callback(watch.aclose)
-            owned.callback(self._follow)
+            owned.callback(self._observe_store_era)
             async for events in watch:
-                self._follow()
+                self._observe_store_era()
                 self._check_watch(after)
                 yield events
 
     async def grant_lease(self, ttl: Seconds) -> int:
         """Return a new lease's id; raise PlatformUnavailable."""
-        asked_in = self._era
+        requested_in = self._era
         lease = await self._store.grant_lease(ttl)
-        self._follow()
-        if asked_in not in {None, self._era}:
-            raise PlatformUnavailable(OLDER_ERA)
+        self._observe_store_era()
+        if requested_in not in {None, self._era}:
+            raise PlatformUnavailable(RESTORED_MEANWHILE)
         return lease
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease of the newest era; tell False when it has lapsed."""
-        asked_in = self._era
+        """Renew a lease of the newest era; return False if it has expired."""
+        requested_in = self._era
         is_kept = await self._store.keep_lease(lease)
-        self._follow()
-        return is_kept and self._era == asked_in
+        self._observe_store_era()
+        return is_kept and self._era == requested_in
 
     async def revoke_lease(self, lease: int) -> None:
         """End a lease and remove the keys bound to it."""
         await self._store.revoke_lease(lease)
-        self._follow()
+        self._observe_store_era()
 
-    def _follow(self) -> None:
+    def _observe_store_era(self) -> None:
         self.observe_era(self._store.era)
 
     def _check_watch(self, after: Revision) -> None:
         if read_era(after) != self.era:
             raise WatchCompacted
 
-    def _can_hold(self, compare: Compare) -> bool:
-        """Tell whether the store can compare with the revision meant."""
+    def _is_comparable(self, compare: Compare) -> bool:
+        """Return whether a comparison refers to the newest era."""
         revision = compare.revision
         return revision == NOTHING or read_era(revision) == self.era
 
-    def _is_newest(self, asked_in: Era | None, revision: Revision) -> bool:
-        return asked_in in {None, self._era} and read_era(revision) == self._era
+    def _is_newest(self, requested_in: Era | None, revision: Revision) -> bool:
+        return (
+            requested_in in {None, self._era}
+            and read_era(revision) == self._era
+        )
--- a/src/sedgeshunt/registry/directory.py
+++ b/src/sedgeshunt/registry/directory.py
@@ -1,4 +1,4 @@
-"""Put together what is declared and what the targets say of themselves."""
+"""Hold the declared configuration and the entries of the targets."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -18,29 +18,29 @@
 
 
 class KnownTarget(Struct, frozen=True):
-    """Hold a target with what it says of itself."""
+    """Hold a target with what its entry reports."""
 
     target: Target
-    # Statements that it runs at once.
+    # Number of statements that it runs concurrently.
     slots: int
-    # It believes that it leads its group.
+    # It reports to be the primary of its group.
     is_primary: bool
-    # Started again, it holds nothing of what it held before.
+    # Changes when the target restarts without its earlier data.
     life: TargetLife = TargetLife(0)
 
 
 class DeclaredConfiguration(Struct, frozen=True):
-    """Hold one version of the operator's groups and routes."""
+    """Hold one version of the operator's groups, routes and customers."""
 
     version: int = 0
     groups: dict[GroupId, Group] = field(default_factory=dict)
     routes: dict[TrafficClass, Route] = field(default_factory=dict)
-    # None where nothing is said of customers: anybody may call.
+    # None if no customers are declared: then anybody may call.
     customers: CustomerDirectory | None = None
 
 
 class PlatformDocuments(ABC):
-    """Read what the operator and the targets write."""
+    """Read the documents of the operator and of the targets."""
 
     @property
     @abstractmethod
@@ -76,8 +76,9 @@
 
 
 def list_places(members: GroupMembers) -> frozenset[CopyPlace]:
-    """Return where the targets of a group keep their logs."""
-    # A target that is replaced hands its log to the next one at its address.
+    """Return the places where the targets of a group keep their logs."""
+    # A log belongs to an address: the replacement of a target at its address
+    # takes over its log.
     return frozenset(
         CopyPlace(f'{known.target.host}:{known.target.port}')
         for known in members.targets
--- a/src/sedgeshunt/registry/entries.py
+++ b/src/sedgeshunt/registry/entries.py
@@ -1,4 +1,4 @@
-"""Describe what proxies write into the store."""
+"""Define the entries that proxies write into the store."""
 
 from typing import TypeVar
 
@@ -23,77 +23,77 @@
 
 
 class InstanceEntry(Struct, frozen=True):
-    """Tell how an instance is reached."""
+    """Hold how an instance is reached."""
 
     name: ProxyId
     incarnation: Incarnation
     zone: ZoneId
     host: str
     port: int
-    # Relative speed, from the settings: larger ones own more groups.
+    # Relative speed, from the settings: larger instances own more groups.
     capacity: float = 1
 
     @property
     def address(self) -> Address:
-        """Return where its peers come in."""
+        """Return the address for its peers."""
         return Address(self.host, self.port)
 
 
 class OwnerEntry(Struct, frozen=True):
-    """Tell which instance owns a group."""
+    """Hold which instance owns a group."""
 
     owner: ProxyId
     incarnation: Incarnation
 
 
 class ReplacementIntent(Struct, frozen=True):
-    """Tell which target was about to be promoted, and by whose token."""
+    """Hold which target is to be promoted, and the token of the order."""
 
     target: TargetId
     token: OwnerToken
 
 
 class PrimaryNote(Struct, frozen=True):
-    """Tell which target leads, and in which term at least."""
+    """Hold which target is the primary, and its term at least."""
 
     target: TargetId
     term: Term
-    # The life in which it led.
+    # Its life at that time; see KnownTarget.
     life: TargetLife = TargetLife(0)
-    # The store's era in which it was surely known to lead.
+    # The latest era of the store in which it was confirmed as primary.
     era: Era = FIRST_ERA
 
 
 class GroupRecord(Struct, frozen=True):
-    """Hold what outlasts each owner of a group."""
+    """Hold the state of a group that outlasts its owners."""
 
     group: GroupId
     # Only these instances may claim the group.
     candidates: tuple[ProxyId, ...] = ()
-    # The latest owner; who claims has to be free of promises to it.
+    # The latest owner; nobody may claim while bound by a promise to it.
     owner: ProxyId = ProxyId('')
     incarnation: Incarnation = Incarnation('')
-    # Counts the claims; the owner's reign is known by it.
+    # Number of claims so far; it identifies the period of an ownership.
     claims: int = 0
-    # The store's era of the latest claim.
+    # The era of the store at the latest claim.
     era: Era = FIRST_ERA
-    # The one instance that should claim next; others give it some time.
+    # The successor that should claim next; others delay their claims.
     heir: ProxyId = ProxyId('')
     leader: PrimaryNote | None = None
-    # Set before a promotion is ordered, cleared once its end is known.
+    # Set before a promotion is ordered, cleared once its result is known.
     intent: ReplacementIntent | None = None
-    # Addresses of targets that may hold acknowledged writes. Kept only where
-    # replicas acknowledge writes; those that are not listed count too.
+    # Addresses of targets that may hold acknowledged writes, including targets
+    # that are no longer listed. Only kept where replicas acknowledge writes.
     copies: tuple[CopyPlace, ...] = ()
 
 
 def encode_entry(entry: Struct) -> bytes:
-    """Return an entry as the store keeps it."""
+    """Encode an entry for the store."""
     return encode(entry)
 
 
 def read_entry(document: bytes, kind: type[_Entry]) -> _Entry | None:
-    """Return the entry of a document, None when it can't be read."""
+    """Decode an entry, or return None if it is invalid."""
     try:
         return decode(document, type=kind)
     except (ValidationError, ValueError):
--- a/src/sedgeshunt/registry/feeds.py
+++ b/src/sedgeshunt/registry/feeds.py
@@ -1,4 +1,4 @@
-"""Hand the store's changes on from those who watch it to those who don't."""
+"""Forward changes of the store from proxies that watch it to followers."""
 
 from abc import ABC, abstractmethod
 from asyncio import get_running_loop
@@ -8,47 +8,48 @@
 from sedgeshunt.ports import KeyValue
 from sedgeshunt.registry.changes import ChangeLog, StoreChanges
 
-# A configuration with many customers, handed to all followers at once, filled
-# the watcher's link for half a second, and the calls behind it came late. One
-# after the other, with a rest between, they leave room on a slow link.
-LONG_DOCUMENT = 4096
-# Bytes a second, before they are compressed.
-SPREAD_RATE = 400_000
-# All have it by then, well within the time in which it has to be in force.
-LONGEST_SPREAD = Seconds(1)
-# Takes changes in for a follower, None once no more will come.
+# A configuration with many customers that was sent to all followers at once
+# filled the link of the watcher for half a second and delayed other calls.
+# Large documents are sent to one follower after the other, with pauses.
+LARGE_DOCUMENT_BYTES = 4096
+# Bytes a second, before compression.
+SEND_RATE = 400_000
+# The last follower gets it after this time at most, well within the 3 s for
+# a configuration to come into force.
+MAX_SPREAD_TIME = Seconds(1)
+# Receives changes for a follower, None at the end of the feed.
 ChangeReceiver = Callable[[StoreChanges | None], None]
 
 
 class ChangeFeed(ABC):
-    """Bring the store's changes by a peer that watches it."""
+    """Receive changes of the store from a peer that watches it."""
 
     @abstractmethod
     def is_expected(self) -> bool:
-        """Tell whether others watch the store for this proxy."""
+        """Return whether peers watch the store for this proxy."""
 
     @abstractmethod
     def is_available(self) -> bool:
-        """Tell whether a peer would hand changes on, and is to be asked."""
+        """Return whether a peer can forward changes to this proxy."""
 
     @abstractmethod
     def open(self, after: Revision) -> AsyncGenerator[StoreChanges, None]:
-        """Yield what changes after a revision, until the peer stops."""
+        """Yield the changes after a revision, until the peer stops."""
 
     @abstractmethod
     def suspend_peer(self) -> None:
-        """Ask the present peer no more for a while."""
+        """Don't follow the current peer for a while."""
 
 
 class NoFeed(ChangeFeed):
-    """Leave it to the store."""
+    """Provide no changes."""
 
     def is_expected(self) -> bool:
-        """Tell that nobody does."""
+        """Return False."""
         return False
 
     def is_available(self) -> bool:
-        """Tell that nobody would."""
+        """Return False."""
         return False
 
     async def open(self, after: Revision) -> AsyncGenerator[StoreChanges, None]:
@@ -62,69 +63,69 @@
 
 
 class Followers:
-    """Know the peers that follow the store from here."""
+    """Send changes of the store to the peers that follow this proxy."""
 
     def __init__(
         self,
         log: ChangeLog,
         list_items: Callable[[], Iterable[KeyValue]],
     ) -> None:
-        """Have no follower."""
+        """Start without followers."""
         self._log = log
         self._list_items = list_items
-        self._seen: dict[ChangeReceiver, Revision] = {}
+        self._revisions: dict[ChangeReceiver, Revision] = {}
 
     def __len__(self) -> int:
         """Count the followers."""
-        return len(self._seen)
+        return len(self._revisions)
 
     def add(self, receive: ChangeReceiver, after: Revision) -> None:
-        """Hand changes after a revision to a follower from now on."""
-        self._seen[receive] = after
-        self._bring_up(receive, after)
+        """Send a follower all changes after a revision."""
+        self._revisions[receive] = after
+        self._send_since(receive, after)
 
     def remove(self, receive: ChangeReceiver) -> None:
-        """Hand nothing more to a follower; twice does no harm."""
-        self._seen.pop(receive, None)
+        """Remove a follower, if it is still there."""
+        self._revisions.pop(receive, None)
 
-    def tell(self) -> None:
-        """Hand on what is new, a long document to one after the other."""
+    def send_changes(self) -> None:
+        """Send new changes; space out the sends of a large document."""
         behind = [
             receive
-            for receive, seen in self._seen.items()
+            for receive, seen in self._revisions.items()
             if seen < self._log.revision
         ]
-        pause = self._find_pause(len(behind))
+        pause = self._choose_pause(len(behind))
         for place, receive in enumerate(behind):
             if place and pause:
                 get_running_loop().call_later(
                     place * pause,
-                    self._bring_up_late,
+                    self._send_late,
                     receive,
                 )
             else:
-                self._bring_up(receive, self._seen[receive])
+                self._send_since(receive, self._revisions[receive])
 
     def end_all(self) -> None:
-        """Tell all that no more will come."""
-        for receive in tuple(self._seen):
+        """End the feeds of all followers."""
+        for receive in tuple(self._revisions):
             self.remove(receive)
             receive(None)
 
-    def _find_pause(self, followers: int) -> float:
-        """Return the time between two followers."""
-        size = self._log.measure_latest()
-        if size < LONG_DOCUMENT or not followers:
+    def _choose_pause(self, followers: int) -> float:
+        """Return the time between the sends to two followers."""
+        size = self._log.measure_latest_size()
+        if size < LARGE_DOCUMENT_BYTES or not followers:
             return 0
-        return min(size / SPREAD_RATE, LONGEST_SPREAD / followers)
+        return min(size / SEND_RATE, MAX_SPREAD_TIME / followers)
 
-    def _bring_up_late(self, receive: ChangeReceiver) -> None:
-        seen = self._seen.get(receive)
+    def _send_late(self, receive: ChangeReceiver) -> None:
+        seen = self._revisions.get(receive)
         if seen is not None and seen < self._log.revision:
-            self._bring_up(receive, seen)
+            self._send_since(receive, seen)
 
-    def _bring_up(self, receive: ChangeReceiver, seen: Revision) -> None:
-        # Sent even when nothing is new: it shows that the feed is open.
+    def _send_since(self, receive: ChangeReceiver, seen: Revision) -> None:
+        # Sent even without changes, to show that the feed is open.
         changes = self._log.list_since(seen, self._list_items())
-        self._seen[receive] = changes.revision
+        self._revisions[receive] = changes.revision
         receive(changes)
--- a/src/sedgeshunt/registry/keys.py
+++ b/src/sedgeshunt/registry/keys.py
@@ -1,4 +1,4 @@
-"""Name the keys under which proxies keep what lasts."""
+"""Build the keys of the entries that proxies write into the store."""
 
 from sedgeshunt.identifiers import GroupId, ProxyId
 
@@ -9,15 +9,15 @@
 
 
 def make_instance_key(proxy: ProxyId) -> str:
-    """Return the key that tells that an instance is there."""
+    """Return the key under which an instance registers."""
     return f'{INSTANCES_PREFIX}{proxy}'
 
 
 def make_owner_key(group: GroupId) -> str:
-    """Return the key that its group's owner holds by a lease."""
+    """Return the key that the owner of a group holds by a lease."""
     return f'{OWNERS_PREFIX}{group}'
 
 
 def make_record_key(group: GroupId) -> str:
-    """Return the key of what outlasts each owner of a group."""
+    """Return the key of the record of a group."""
     return f'{RECORDS_PREFIX}{group}'
--- a/src/sedgeshunt/registry/store_view.py
+++ b/src/sedgeshunt/registry/store_view.py
@@ -1,4 +1,4 @@
-"""Follow everything in the store that concerns this proxy."""
+"""Keep a view of the store up to date, by a watch or a peer."""
 
 from asyncio import (
     FIRST_COMPLETED,
@@ -32,39 +32,39 @@
 from sedgeshunt.registry.changes import ChangeLog, StoreChanges
 from sedgeshunt.registry.current_store import CurrentStore
 from sedgeshunt.registry.feeds import ChangeFeed, Followers, NoFeed
-from sedgeshunt.registry.gathering import Gathering
+from sedgeshunt.registry.gathering import WatchBatching
 from sedgeshunt.revisions import NOTHING, begin_era, read_era
 
-# Times between attempts at a store that does not answer, in seconds; the
-# longest is short against the 3 s in which a configuration comes into force.
-SHORTEST_PAUSE = Seconds(0.1)
-LONGEST_PAUSE = Seconds(0.8)
-# How often one proxy asks how far the store is, and for how long a watch may
-# be behind that: longer than changes are gathered. Together they fit into the
-# 3 s of a configuration.
-CHECK_EVERY = Seconds(1)
-WATCH_LAG = Seconds(0.8)
-# How often a proxy that follows the store itself looks for a peer to do so.
-FEED_LOOK = Seconds(0.25)
-# How long a proxy that is to follow a peer waits for one before it watches the
-# store itself. At the end of an outage each one that does not wait makes a
-# call, and another for each change of the others. It fits into the 3 s of a
-# configuration with the second in which a peer's silence shows.
+# Delays before retries while the store does not answer; the longest is short
+# against the 3 s in which a configuration has to come into force.
+MIN_RETRY_DELAY = Seconds(0.1)
+MAX_RETRY_DELAY = Seconds(0.8)
+# How often one proxy polls the revision of the store, and for how long a watch
+# may lag behind it: longer than changes are batched. Together they fit into the
+# 3 s in which a configuration has to come into force.
+REVISION_CHECK_INTERVAL = Seconds(1)
+MAX_WATCH_LAG = Seconds(0.8)
+# How often a proxy that watches the store checks for a peer to follow.
+FEED_CHECK_INTERVAL = Seconds(0.25)
+# How long a proxy that should follow a peer waits for one before it watches the
+# store. At the end of an outage each proxy that does not wait would make one
+# call, and another for each change by the others. Together with the second in
+# which the loss of a peer shows, it fits into the 3 s for a configuration.
 FEED_WAIT = Seconds(1)
-# Everything that there is; what concerns nobody here is left out.
+# Prefix of all keys; irrelevant items are filtered out on receipt.
 ALL_KEYS = ''
-# A key that is never there: its listing brings the revision alone.
-NO_KEY = 'sedgeshunt/none/'
+# A key that never exists: its listing returns the revision only.
+ABSENT_KEY = 'sedgeshunt/none/'
 
 Listener = Callable[[str], None]
 
 
 class StoreView:
-    """Hold the store's items as of the newest revision that was seen."""
+    """Hold the items of the store at the newest revision received."""
 
-    # Changes come by a watch of the store or by a peer that has one. Watched by
-    # all, each change would cost a call of every proxy: with N proxies that
-    # start at once, N squared.
+    # Changes come from a watch of the store or from a peer that has one. If all
+    # proxies watched the store, each change would cost a call by every proxy,
+    # and a start of N proxies N squared calls.
 
     def __init__(
         self,
@@ -73,36 +73,37 @@
         decisions: DecisionLog,
         is_checker: Callable[[], bool],
     ) -> None:
-        """Follow the items under `prefixes`; nothing runs before run()."""
+        """Follow the items under `prefixes` once run() is called."""
         self.revision = Revision(0)
         self.loaded = Event()
         self.is_reached = False
-        # Changes are brought by the store itself.
+        # Changes come from a watch of the store, not from a peer.
         self.is_watching = False
-        # Watches that the store refused, as it lacks what they begin after.
+        # Watches that the store refused because their start revision was
+        # compacted.
         self.refused_watches = 0
         self._store = store
-        store.listen(self._end_watch)
+        store.listen(self._refresh_after_restore)
         self._prefixes = tuple(prefixes)
         self._decisions = decisions
-        # Tells whether it falls to this proxy to ask how far the store is.
+        # Returns whether this proxy is to poll the revision of the store.
         self._is_checker = is_checker
         self._feed: ChangeFeed = NoFeed()
         self._is_behind = Event()
-        self._newest_elsewhere = Revision(0)
-        self._missed_since: Monotonic | None = None
+        self._newest_reported = Revision(0)
+        self._behind_since: Monotonic | None = None
         self._items: dict[str, KeyValue] = {}
         self._log = ChangeLog()
         self.followers = Followers(self._log, self._items.values)
         self._listeners: list[Listener] = []
-        self._backoff = Backoff(SHORTEST_PAUSE, LONGEST_PAUSE)
-        # A listing resets the one above, also when the watch after it fails.
-        self._watch_backoff = Backoff(SHORTEST_PAUSE, LONGEST_PAUSE)
+        self._backoff = Backoff(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
+        # Separate, as a listing resets the other even if its watch fails.
+        self._watch_backoff = Backoff(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
         self._listed_at = Monotonic(0)
-        self._gathering = Gathering()
+        self._batching = WatchBatching()
 
     def bind(self, feed: ChangeFeed) -> None:
-        """Let `feed` bring changes where it offers to."""
+        """Follow `feed` whenever it is available."""
         self._feed = feed
 
     def listen(self, listener: Listener) -> None:
@@ -123,45 +124,47 @@
 
     @property
     def newest(self) -> Revision:
-        """Return the newest place of the store's history known here."""
+        """Return the newest known revision, at least the start of the era."""
         return max(self.revision, begin_era(self._store.era))
 
     def measure_era_age(self) -> Seconds:
-        """Return for how long the store's newest era has been known."""
+        """Return for how long the newest era of the store has been known."""
         return self._store.measure_era_age()
 
     def observe_revision(self, revision: Revision) -> None:
-        """Record that the store has reached a revision."""
+        """Record a revision of the store that was seen elsewhere."""
         if revision != NOTHING:
             self._store.observe_era(read_era(revision))
-        # A watch can go silent while changes are made. What somebody else has
-        # seen, and the watch does not bring soon, is listed anew.
-        self._newest_elsewhere = Revision(max(self._newest_elsewhere, revision))
-        if self._newest_elsewhere <= self.revision:
-            self._missed_since = None
+        # A watch can stop delivering changes without an error. If it lags for
+        # too long behind a revision seen elsewhere, the store is listed again.
+        self._newest_reported = Revision(max(self._newest_reported, revision))
+        if self._newest_reported <= self.revision:
+            self._behind_since = None
             return
         now = read_clock()
-        if self._missed_since is None:
-            self._missed_since = now
-        elif now - self._missed_since > WATCH_LAG:
-            self._missed_since = None
+        if self._behind_since is None:
+            self._behind_since = now
+        elif now - self._behind_since > MAX_WATCH_LAG:
+            self._behind_since = None
             self._is_behind.set()
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
         async with TaskGroup() as tasks:
-            tasks.create_task(self._check())
+            tasks.create_task(self._check_revision())
             await self._run()
 
-    async def _check(self) -> None:
+    async def _check_revision(self) -> None:
         while True:
             await sleep(
-                CHECK_EVERY if self._missed_since is None else WATCH_LAG
+                REVISION_CHECK_INTERVAL
+                if self._behind_since is None
+                else MAX_WATCH_LAG
             )
             if not self._is_checker():
                 continue
             with suppress(PlatformUnavailable):
-                listing = await self._store.list_prefix(NO_KEY)
+                listing = await self._store.list_prefix(ABSENT_KEY)
                 self.observe_revision(listing.revision)
 
     async def _run(self) -> None:
@@ -169,26 +172,27 @@
             try:
                 await self._follow()
             except WatchCompacted:
-                # What happened since is unknown: list anew.
+                # Changes since then are lost, so list all items again.
                 self.refused_watches += 1
-                self._record_reach(is_reached=True)
+                self._record_reachability(is_reached=True)
                 self.loaded.clear()
-                await self._pause_watch()
+                await self._wait_before_listing()
             except PlatformUnavailable as failure:
-                self._record_reach(is_reached=False, why=str(failure))
+                self._record_reachability(is_reached=False, why=str(failure))
                 await sleep(self._backoff.draw())
 
-    async def _pause_watch(self) -> None:
-        """Wait before the next listing if the latest one brought no watch."""
-        if read_clock() - self._listed_at < WATCH_LAG:
+    async def _wait_before_listing(self) -> None:
+        """Delay the next listing if the watch after the last one failed."""
+        if read_clock() - self._listed_at < MAX_WATCH_LAG:
             await sleep(self._watch_backoff.draw())
         else:
             self._watch_backoff.reset()
 
     async def refresh(self, *, may_be_old: bool = False) -> None:
-        """List everything anew; raise PlatformUnavailable."""
+        """List all items; raise PlatformUnavailable."""
         listing = await self._store.list_prefix(ALL_KEYS, may_be_old=may_be_old)
-        # The pages are no snapshot; the watch goes on from the first.
+        # The pages are no consistent snapshot, so the watch starts at the
+        # revision of the first page.
         self._replace(
             {
                 pair.key: pair
@@ -207,8 +211,8 @@
 
     async def _follow(self) -> None:
         if not self.loaded.is_set():
-            # At a start an old state will do: what has changed since comes at
-            # once. After a gap it might be older than what is known.
+            # At startup a stale listing will do, as the watch brings later
+            # changes. After that it might be older than the known state.
             await self.refresh(may_be_old=self.revision == 0)
             self.loaded.set()
         if self._feed.is_expected():
@@ -219,20 +223,20 @@
             await self._follow_store()
 
     async def _follow_peer(self) -> None:
-        """Apply what a peer hands on, until it stops or is behind."""
-        await self._run_until_behind(self._follow_feed())
+        """Apply changes from a peer until it stops or lags behind."""
+        await self._run_until_behind(self._apply_feed())
         self._feed.suspend_peer()
 
     async def _follow_store(self) -> None:
-        """Watch the store until a peer offers to, or the watch is behind."""
+        """Watch the store until a feed is available or the watch lags."""
         try:
             is_behind = await self._run_until_behind(
-                self._listen(),
-                self._wait_offer(),
+                self._watch_store(),
+                self._wait_available_feed(),
             )
         finally:
-            # Who is handed changes must never hand them on: two that do it
-            # for each other would hear of nothing, and not know it.
+            # A follower must not forward changes: two proxies that follow each
+            # other would miss all changes without an error.
             self.is_watching = False
             self.followers.end_all()
         if is_behind:
@@ -242,7 +246,7 @@
         self,
         *works: Coroutine[None, None, None],
     ) -> bool:
-        """Run to the first end; tell whether others were seen to know more."""
+        """Run until one coroutine ends; return whether the view lags behind."""
         self._is_behind.clear()
         tasks = [create_task(work) for work in works]
         behind = create_task(self._is_behind.wait())
@@ -255,7 +259,7 @@
                 started.cancel()
         return self._is_behind.is_set()
 
-    async def _follow_feed(self) -> None:
+    async def _apply_feed(self) -> None:
         feed = self._feed.open(self.revision)
         async with AsyncExitStack() as owned:
             owned.push_async_callback(feed.aclose)
@@ -264,10 +268,10 @@
                     return
 
     def _apply_changes(self, changes: StoreChanges) -> bool:
-        """Apply what a peer hands on; tell whether nothing is missing."""
+        """Apply changes from a peer; return whether they are complete."""
         self._store.observe_era(read_era(changes.revision))
         if read_era(changes.revision) != self._store.era:
-            # The peer does not know yet that the store has come back.
+            # The peer has not learned of the latest restore yet.
             return False
         if changes.is_whole:
             if changes.revision > self.revision:
@@ -281,31 +285,31 @@
     async def _wait_feed(self) -> None:
         with suppress(TimeoutError):
             async with timeout(FEED_WAIT):
-                await self._wait_offer()
+                await self._wait_available_feed()
 
-    async def _wait_offer(self) -> None:
+    async def _wait_available_feed(self) -> None:
         while not self._feed.is_available():
-            await sleep(FEED_LOOK)
+            await sleep(FEED_CHECK_INTERVAL)
 
-    async def _listen(self) -> None:
+    async def _watch_store(self) -> None:
         watch = self._store.watch(ALL_KEYS, self.revision)
         self.is_watching = True
         async with AsyncExitStack() as owned:
             if isinstance(watch, AsyncGenerator):
                 owned.push_async_callback(watch.aclose)
             async for events in watch:
-                self._record_reach(is_reached=True)
+                self._record_reachability(is_reached=True)
                 newest = max((one.revision for one in events), default=0)
                 self._apply(events, Revision(newest))
-                await sleep(self._gathering.find_pause(read_clock()))
+                await sleep(self._batching.find_pause(read_clock()))
 
     def _apply(self, events: Sequence[WatchEvent], revision: Revision) -> None:
         relevant = [one for one in events if one.key.startswith(self._prefixes)]
         self.revision = Revision(max(self.revision, revision))
-        self._log.note(relevant, revision)
+        self._log.append(relevant, revision)
         for event in relevant:
             self._apply_event(event)
-        self.followers.tell()
+        self.followers.send_changes()
 
     def _apply_event(self, event: WatchEvent) -> None:
         known = self._items.get(event.key)
@@ -327,7 +331,7 @@
         listed: dict[str, KeyValue],
         revision: Revision,
     ) -> None:
-        # What this proxy wrote itself may be newer than the listing.
+        # Items that this proxy has written may be newer than the listing.
         own = {
             key: pair
             for key, pair in self._items.items()
@@ -337,22 +341,22 @@
         self._items.update(listed | own)
         self._listed_at = read_clock()
         self.revision = Revision(max(self.revision, revision))
-        self._log.begin(self.revision)
-        self._record_reach(is_reached=True)
+        self._log.reset(self.revision)
+        self._record_reachability(is_reached=True)
         self._notify('')
-        self.followers.tell()
+        self.followers.send_changes()
 
     def _notify(self, key: str) -> None:
         for listener in self._listeners:
             listener(key)
 
-    def _end_watch(self) -> None:
-        # A follower waits for its watcher instead, so that the end of an era
-        # is not a listing by each proxy.
+    def _refresh_after_restore(self) -> None:
+        # Followers wait for their watcher instead, so that a restore does not
+        # cause a listing by every proxy.
         if self.is_watching:
             self._is_behind.set()
 
-    def _record_reach(self, *, is_reached: bool, why: str = '') -> None:
+    def _record_reachability(self, *, is_reached: bool, why: str = '') -> None:
         if is_reached:
             self._backoff.reset()
         if is_reached == self.is_reached:
