--- a/src/sedgeshunt/customers/part_assignment.py
+++ b/src/sedgeshunt/customers/part_assignment.py
@@ -45,7 +45,7 @@
         self._free_at = Boottime(0)
 
     def assign(self, counter: ProxyId, wanted: ProxyId | None) -> bool:
-        """Tell whether a heartbeat to a counter is to bring the part.
+        """Return whether a heartbeat to a counter is to bring the part.
 
         It goes to the `wanted` one once nobody else can hold it any more.
         """
--- a/src/sedgeshunt/customers/quotas.py
+++ b/src/sedgeshunt/customers/quotas.py
@@ -47,7 +47,7 @@
 
     @abstractmethod
     def keeps_own_part(self) -> bool:
-        """Tell whether this proxy counts its own part of limits itself."""
+        """Return whether this proxy counts its own part of limits itself."""
 
     @abstractmethod
     async def ask(
--- a/src/sedgeshunt/forwarding/link.py
+++ b/src/sedgeshunt/forwarding/link.py
@@ -150,13 +150,13 @@
         self._backoff = Backoff(SHORTEST_PAUSE, LONGEST_PAUSE)
 
     def is_alive(self) -> bool:
-        """Tell whether the peer has answered of late."""
+        """Return whether the peer has answered of late."""
         return (
             self._channel is not None and self._measure_wait() < PEER_LOST_AFTER
         )
 
     def is_answering(self) -> bool:
-        """Tell whether the peer has answered the latest heartbeats."""
+        """Return whether the peer has answered the latest heartbeats."""
         if self._channel is None:
             return False
         return self._measure_wait() < HEARTBEAT_MISSED_AFTER
--- a/src/sedgeshunt/forwarding/server.py
+++ b/src/sedgeshunt/forwarding/server.py
@@ -60,7 +60,7 @@
 
     @abstractmethod
     async def can_reach(self, group: GroupId, target: TargetId) -> bool:
-        """Tell whether a target that leads its group is reached from here."""
+        """Return whether a target that leads its group is reached from here."""
 
     @abstractmethod
     async def keep_lease(self, asked: LeaseRenewal) -> bool:
@@ -87,7 +87,9 @@
     """Serve one peer's connection."""
 
     def __init__(
-        self, channel: FrameChannel, handler: PeerRequestHandler
+        self,
+        channel: FrameChannel,
+        handler: PeerRequestHandler,
     ) -> None:
         """Own what the peer begins here."""
         self._channel = channel
@@ -157,7 +159,7 @@
         if self._sender is None:
             return None
         reply = self._handler.answer_heartbeat(
-            replace(beat, sender=self._sender)
+            replace(beat, sender=self._sender),
         )
         if reply.relayed == self._relayed:
             return replace(reply, relayed=None)
--- a/src/sedgeshunt/limits/admission.py
+++ b/src/sedgeshunt/limits/admission.py
@@ -132,7 +132,7 @@
                 waiter.turn.set_result(Err(self._refuse_closed()))
 
     def has_room(self) -> bool:
-        """Tell whether a statement would be admitted without any wait."""
+        """Return whether a statement would be admitted without any wait."""
         return not self._queue and self.running < self.limit.value
 
     def _start(self, now: Monotonic) -> Permit:
--- a/src/sedgeshunt/limits/budget.py
+++ b/src/sedgeshunt/limits/budget.py
@@ -35,7 +35,7 @@
         self._tokens = min(self._largest, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Tell whether one more retry is allowed, and count it."""
+        """Return whether one more retry is allowed, and count it."""
         self._fill()
         if self._tokens < 1:
             return False
--- a/src/sedgeshunt/limits/holding.py
+++ b/src/sedgeshunt/limits/holding.py
@@ -15,7 +15,7 @@
     expected_at: Monotonic | None,
     deadline: Monotonic,
 ) -> bool:
-    """Tell whether a wait that is to end at `expected_at` leaves time.
+    """Return whether a wait that is to end at `expected_at` leaves time.
 
     None means that nobody knows when, so that the wait may be for nothing.
     """
--- a/src/sedgeshunt/membership/__init__.py
+++ b/src/sedgeshunt/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Know which instances are there, leaving or gone."""
+"""Track which instances are live, leaving or unreachable."""
--- a/src/sedgeshunt/membership/affinity.py
+++ b/src/sedgeshunt/membership/affinity.py
@@ -1,4 +1,4 @@
-"""Choose where a customer's reads gather, so that connections serve again."""
+"""Direct a customer's reads to few readers, to reuse their connections."""
 
 from collections.abc import Mapping, Sequence
 from functools import partial
@@ -9,25 +9,25 @@
 
 
 def rank_readers(
-    place: str,
+    purpose: str,
     customer: CustomerId,
     zones: Sequence[ZoneId],
     readers: Mapping[ZoneId, Sequence[ProxyId]],
 ) -> list[ProxyId]:
     """Return the readers near the replicas in `zones`, the best one first.
 
-    Whoever asks finds the same order, for each customer another one.
+    The order differs by customer and is the same on every instance.
     """
-    # A connection is opened in one customer's name and is of no use to others.
-    # With many customers for each of a target's connections, reads that went
-    # wherever there was room opened a new one each second time: it takes a
-    # place at the target as long as a short statement does. Gathered, a
-    # customer finds its own again. The replicas take turns in the order, so
-    # that a customer that needs several readers uses all of them.
-    draw = partial(weigh, f'{place} of {customer}')
+    # A connection is opened for one customer and can't serve another.
+    # With many customers for each of a target's connections, reads sent to any
+    # reader with room would open a new connection for every second read, which
+    # occupies the target as long as a short statement does. With affinity a
+    # customer finds its open connections again. Zones alternate in the order,
+    # so that a customer that needs several readers uses all replicas.
+    hash_name = partial(weigh, f'{purpose} of {customer}')
     columns = [
-        sorted(readers.get(zone, ()), key=draw)
-        for zone in sorted(set(zones), key=draw)
+        sorted(readers.get(zone, ()), key=hash_name)
+        for zone in sorted(set(zones), key=hash_name)
     ]
     rows = zip_longest(*columns)
     return [name for row in rows for name in row if name is not None]
@@ -36,8 +36,8 @@
 def count_affinity_readers(share: float, readers: int) -> int:
     """Return over how many readers a customer's reads are spread.
 
-    `share` is the customer's part of all that may be asked.
+    `share` is the customer's share of the sum of all customers' rates.
     """
-    # One that may ask for more than a reader's part would crowd it, and all
-    # customers that gather there.
+    # A customer with a higher rate than one reader's part would overload the
+    # reader and delay the other customers there.
     return max(1, min(readers, round(share * readers * 2)))
--- a/src/sedgeshunt/membership/choice.py
+++ b/src/sedgeshunt/membership/choice.py
@@ -1,4 +1,4 @@
-"""Choose the peers that a proxy keeps in touch with."""
+"""Choose the peers that a proxy polls regularly."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,24 +7,24 @@
 from sedgeshunt.identifiers import ZoneId
 from sedgeshunt.ports import Address
 
-# A full mesh of thousands of proxies would spend all control traffic on
-# itself; with these few a change still crosses the fleet in some rounds.
+# A full mesh of thousands of proxies would saturate the control traffic; with
+# this many peers a change still reaches the whole fleet in a few rounds.
 REGULAR_PEERS = 8
 OWN_ZONE_PEERS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class KnownPeer:
-    """Hold what is known of another proxy before it is asked."""
+    """Hold what is known of another proxy before its first report."""
 
     address: Address
-    # None for a seed of the settings that has not answered yet.
+    # None for a seed from the settings that has not answered yet.
     name: str | None = None
     zone: ZoneId | None = None
 
     @property
     def label(self) -> str:
-        """Return the name, or the address while there is none."""
+        """Return the name, or the address while the name is unknown."""
         return self.name or f'{self.address.host}:{self.address.port}'
 
 
@@ -33,7 +33,7 @@
     own_zone: ZoneId,
     peers: Iterable[KnownPeer],
 ) -> list[KnownPeer]:
-    """Choose the peers to ask regularly, the own zone's first."""
+    """Choose the peers to poll regularly, those of the own zone first."""
     ranked = rank_peers(own_name, peers)
     near = [peer for peer in ranked if peer.zone == own_zone]
     far = [peer for peer in ranked if peer.zone != own_zone]
@@ -43,7 +43,7 @@
 
 
 def rank_peers(key: str, peers: Iterable[KnownPeer]) -> list[KnownPeer]:
-    """Order peers for `key` so that one that goes moves no other."""
+    """Rank peers for `key`; removing one keeps the order of the others."""
     return sorted(
         peers,
         key=lambda peer: weigh(key, peer.label),
--- a/src/sedgeshunt/membership/directory.py
+++ b/src/sedgeshunt/membership/directory.py
@@ -1,4 +1,4 @@
-"""Know which other proxies there are and where they listen."""
+"""List the other proxies and their addresses."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class PeerDirectory:
-    """Put together what settings, configuration, list and peers tell."""
+    """Merge the peers known from settings, configuration and reports."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         seeds: Sequence[Address],
         instances: InstanceWatch,
     ) -> None:
-        """Know the seeds only until a snapshot comes."""
+        """Start with the seeds, before the first snapshot."""
         self._proxy = proxy
         self._own_address = own_address
         self._seeds = tuple(seeds)
@@ -36,7 +36,7 @@
         self._known = None
 
     def note_report(self, address: Address, report: ProxyReport) -> None:
-        """Take a peer's own word on its name and state."""
+        """Record the name and state that a peer reports of itself."""
         before = self._reports.get(address)
         self._reports[address] = report
         if before is None or before.proxy != report.proxy:
@@ -47,7 +47,7 @@
             self._instances.note_serving(report.proxy)
 
     def list_peers(self) -> Sequence[KnownPeer]:
-        """List the other proxies; the same list until something changes."""
+        """Return the other proxies; the same object until a change."""
         generation = self._instances.generation
         if self._known is None or generation != self._generation:
             self._known = self._collect_peers()
@@ -55,16 +55,16 @@
         return self._known
 
     def is_leaving(self, peer: KnownPeer) -> bool:
-        """Tell whether a peer leaves, by its own word or the list."""
+        """Return whether a peer is leaving, by its report or the list."""
         return peer.name is not None and self._instances.is_leaving(peer.name)
 
     def _collect_peers(self) -> Sequence[KnownPeer]:
         known = {seed: self._describe_seed(seed) for seed in self._seeds}
         for proxy in self._declared:
-            # Instances are replaced at any time; the list knows the new
-            # one's address before an operator corrects the object. Only
-            # declared names are taken from it: a call to an instance of an
-            # unknown kind may use up a database's scarce connections.
+            # Instances are replaced at any time, and the list shows the new
+            # address before an operator updates the object. Only declared
+            # names are looked up there: a call to an instance of another
+            # kind may use up the few connections of a database.
             listed = self._instances.find_instance(proxy.name)
             host = proxy.host if listed is None else listed.address.host
             address = Address(host, proxy.peer_port)
--- a/src/sedgeshunt/membership/feed_server.py
+++ b/src/sedgeshunt/membership/feed_server.py
@@ -1,4 +1,4 @@
-"""Hand the store's changes on to peers of the zone."""
+"""Send the store's changes to peers of the same zone."""
 
 from asyncio import sleep
 
@@ -7,40 +7,40 @@
 from sedgeshunt.registry.feeds import ChangeReceiver
 from sedgeshunt.registry.store_view import StoreView
 
-# Followers ask the store themselves as soon as they hear that this instance
-# does not hear it; a cut shows to its callers' balancer that much later.
-LOOK_EVERY = Seconds(0.05)
+# Followers query the store themselves once their feed ends, so this interval
+# adds to the time in which a network partition shows to the load balancer.
+CHECK_INTERVAL = Seconds(0.05)
 
 
 class FeedServer:
-    """Serve followers while this instance itself hears the store."""
+    """Serve followers while this instance itself reaches the store."""
 
-    # A follower takes each open feed for a sign that the store answers, and
-    # renews its own lease rarely. A feed that stayed open without the store
-    # would keep a part that is cut off from noticing it.
+    # A follower takes an open feed as proof that the store answers, and renews
+    # its own lease rarely. A feed that stayed open without the store would
+    # keep the instances of a network partition from noticing it.
 
     def __init__(self, view: StoreView, lease: InstanceLease) -> None:
-        """Have no follower."""
+        """Start without followers."""
         self._view = view
         self._lease = lease
 
     def add_follower(self, receive: ChangeReceiver, after: Revision) -> None:
-        """Hand a peer what the store changes after a revision."""
-        if self._hears_store():
+        """Send a peer the store's changes after a revision."""
+        if self._reaches_store():
             self._view.followers.add(receive, after)
         else:
             receive(None)
 
     def remove_follower(self, receive: ChangeReceiver) -> None:
-        """Hand a peer nothing more."""
+        """Stop sending changes to a peer."""
         self._view.followers.remove(receive)
 
     async def run(self) -> None:
-        """End all feeds whenever the store falls silent, until cancelled."""
+        """End all feeds whenever the store stops answering."""
         while True:
-            await sleep(LOOK_EVERY)
-            if not self._hears_store():
+            await sleep(CHECK_INTERVAL)
+            if not self._reaches_store():
                 self._view.followers.end_all()
 
-    def _hears_store(self) -> bool:
+    def _reaches_store(self) -> bool:
         return self._view.is_watching and not self._lease.is_overdue()
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Say in heartbeats what peers need to know, and take in what they say."""
+"""Build heartbeats for peers and apply the ones received from them."""
 
 from collections.abc import Iterator, Mapping
 
@@ -50,10 +50,10 @@
         topology: Topology,
         decisions: DecisionLog,
     ) -> None:
-        """Exchange nothing before bind()."""
+        """Prepare; bind() has to follow before the first heartbeat."""
         self.owners_changed = ChangeSignal()
         self.is_stopping = False
-        # Instances that connected here while the store was away.
+        # Instances that connected here while the store was unreachable.
         self.new_instances: list[InstanceEntry] = []
         self._own = own
         self._view = view
@@ -68,7 +68,7 @@
 
     @property
     def name(self) -> ProxyId:
-        """Return the name of the instance that speaks."""
+        """Return the name of the sending instance."""
         return self._own.name
 
     def bind(
@@ -79,7 +79,7 @@
         quota_links: PeerQuotaLinks,
         parts: HeldParts,
     ) -> None:
-        """Speak for `groups` and of `neighbours`."""
+        """Set the collaborators that themselves need this object."""
         self._quota_links = quota_links
         self._parts = parts
         self._neighbours = neighbours
@@ -106,7 +106,7 @@
     def answer(self, beat: Heartbeat) -> HeartbeatReply:
         """Answer a peer's heartbeat."""
         if beat.sender is not None:
-            self._meet(beat.sender)
+            self._note_sender(beat.sender)
             if beat.promised:
                 self._held.note(beat.sender.name, beat.echo, beat.promised)
             if beat.gives_part:
@@ -118,7 +118,7 @@
             self.is_stopping,
             tuple(self._list_relayed()),
             self._view.newest,
-            # A peer that counts on it must hear at once that it is over.
+            # A peer that relies on this has to learn of a loss at once.
             self._lease.has_own_answer(),
             tuple(self._releases.list_own()),
             self._configuration.copy_newer(beat.version),
@@ -129,20 +129,21 @@
         peer: ProxyId,
         owned: Mapping[GroupId, OwnedGroup],
     ) -> Seconds:
-        """Return how often a peer's heartbeats are needed."""
-        # While the store is silent, peers alone tell who is there.
+        """Return the interval between heartbeats to a peer."""
+        # While the store is unreachable, only heartbeats show who is live.
         if not self._lease.is_fresh():
             return FAST_HEARTBEAT_INTERVAL
         groups = {*owned, *self._list_owned_by(peer)}
-        # Promises bind for less than a second.
+        # Promises are valid for less than a second.
         if any(map(self._topology.is_candidate, groups)):
             return FAST_HEARTBEAT_INTERVAL
-        # Log ends prove the age of what is read here, and nothing else does;
-        # that the store answers is known by the feed. Of 195 instances 15 read
-        # a group's replicas.
+        # Only log ends bound the age of reads served here, and the feed proves
+        # that the store answers. Few instances of a large fleet read a group's
+        # replicas (15 of 195), so the cost stays small.
         if self._feed.is_source(peer) or any(map(self._reads, groups)):
             return TIP_HEARTBEAT_INTERVAL
-        # So is the part of limits that a peer counts for this instance.
+        # A quota server holds this instance's part of limits only as long as
+        # heartbeats renew it.
         if self._configuration.has_customers():
             if peer == self._quota_links.find_quota_server():
                 return TIP_HEARTBEAT_INTERVAL
@@ -153,7 +154,7 @@
         reply: HeartbeatReply,
         asked_at: Boottime,
     ) -> None:
-        """Take in the answer to a heartbeat."""
+        """Apply the reply to a heartbeat."""
         for owned in reply.owned:
             if owned.tip is not None:
                 self._groups.take_tip(owned.group, asked_at, owned.tip)
@@ -165,11 +166,11 @@
         self.owners_changed.notify()
 
     def take_tip(self, group: GroupId, asked_at: Boottime, tip: Point) -> None:
-        """Take in a primary's log end and when it was asked for."""
+        """Record a primary's log end and when it was requested."""
         self._groups.take_tip(group, asked_at, tip)
 
     def note_reachability(self, peer: ProxyId, *, is_reached: bool) -> None:
-        """Take in that a peer was lost or found."""
+        """Record that a peer became unreachable or reachable."""
         kind = (
             DecisionKind.PEER_REGAINED if is_reached else DecisionKind.PEER_LOST
         )
@@ -178,18 +179,19 @@
         self._groups.wake()
 
     def _promise(self, peer: ProxyId, *, is_answering: bool) -> Seconds:
-        # A peer that is silent may be gone, and each promise to it delays the
-        # next owner.
+        # A silent peer may be lost, and each promise to it delays the
+        # takeover by the next owner.
         if not is_answering:
             return Seconds(0)
-        # Without the store, and when it stops, it can't claim anyway.
+        # Without the store or while stopping, this instance can't claim a
+        # group anyway, so the longer promise for outages is safe to make.
         may_claim = self._lease.reaches_store() and not self.is_stopping
         span = PROMISE_TIME if may_claim else OUTAGE_PROMISE_TIME
         return self._made.make(peer, span)
 
-    def _meet(self, entry: InstanceEntry) -> None:
-        # Without the store, an instance that starts is known only by those
-        # that connect to it; it learns the configuration from them.
+    def _note_sender(self, entry: InstanceEntry) -> None:
+        # During a store outage, a starting instance knows only the peers that
+        # connect to it, and gets the configuration from them.
         if not self._lease.reaches_store() and entry not in self.new_instances:
             self.new_instances.append(entry)
             self._groups.changed.set()
--- a/src/sedgeshunt/membership/instances.py
+++ b/src/sedgeshunt/membership/instances.py
@@ -1,4 +1,4 @@
-"""Know which instances are leaving, by the list and by direct evidence."""
+"""Track which instances are leaving, by the list and direct evidence."""
 
 from asyncio import sleep, timeout
 from collections import OrderedDict
@@ -18,18 +18,18 @@
     ListedInstance,
 )
 
-READ_EVERY = Seconds(1)
+READ_INTERVAL = Seconds(1)
 READ_TIMEOUT = Seconds(2)
-# All proxies together read the list this often a second at most.
+# Reads of the list a second by all proxies together, at the most.
 READS_PER_SECOND = 200
-# The list may show for this long what was true before an instance left.
-LONGEST_LAG = Seconds(120)
-EVIDENCE_LIMIT = 4096
+# How long the list may still show an instance as live that has left.
+MAX_LIST_LAG = Seconds(120)
+MAX_DEPARTURES = 4096
 
 
 @dataclass(slots=True)
 class _Departure:
-    """Hold the evidence that one instance leaves."""
+    """Hold the evidence that an instance is leaving."""
 
     address: Address | None = None
     # Since when every listing has shown the instance live again.
@@ -37,7 +37,7 @@
 
 
 class InstanceWatch:
-    """Read the platform's list and weigh it against direct evidence."""
+    """Poll the platform's list and combine it with direct evidence."""
 
     def __init__(
         self,
@@ -46,51 +46,54 @@
         count_proxies: Callable[[], int],
         random: Random | None = None,
     ) -> None:
-        """Read the list less often the more proxies `count_proxies` tells."""
+        """Scale the polling interval by the number of proxies."""
         self._instances = instances
         self._decisions = decisions
         self._count_proxies = count_proxies
         self._random = random or Random()
-        # Grows with each listing that differs from the one before.
+        # Incremented with each listing that differs from the previous one.
         self.generation = 0
         self._listed: dict[str, ListedInstance] = {}
         self._names: dict[Address | None, str] = {}
         self._departures: OrderedDict[str, _Departure] = OrderedDict()
-        # Asked for each statement, so it is kept ready.
+        # Precomputed, as it is looked up for each statement.
         self._left_addresses: set[Address | None] = set()
 
     async def run(self) -> None:
         """Read the list until cancelled."""
         while True:
             await self._read_list()
-            pace = max(READ_EVERY, self._count_proxies() / READS_PER_SECOND)
-            await sleep(pace * self._random.uniform(0.75, 1.25))
+            interval = max(
+                READ_INTERVAL,
+                self._count_proxies() / READS_PER_SECOND,
+            )
+            await sleep(interval * self._random.uniform(0.75, 1.25))
 
     def find_instance(self, name: str) -> ListedInstance | None:
-        """Return an instance as the newest listing shows it."""
+        """Return an instance from the newest listing."""
         return self._listed.get(name)
 
     def is_leaving(self, name: str, address: Address | None = None) -> bool:
-        """Tell whether an instance leaves, by its name or its address."""
+        """Return whether an instance is leaving, by its name or address."""
         return name in self._departures or address in self._left_addresses
 
     def is_target_leaving(self, target: Target) -> bool:
-        """Tell whether a target may get no new work."""
+        """Return whether a target is leaving and gets no new work."""
         if target.is_leaving():
             return True
         address = Address(target.host, target.port)
         return self.is_leaving(target.name, address)
 
     def note_leaving(self, name: str) -> None:
-        """Take direct evidence that an instance leaves."""
+        """Record direct evidence that an instance is leaving."""
         self._mark(name, 'announcement')
         self._index_addresses()
 
     def note_serving(self, name: str) -> None:
-        """Take direct evidence that an instance is a new one and serves."""
+        """Record direct evidence that a new instance of this name serves."""
         listed = self._listed.get(name)
         if listed is not None and listed.state is InstanceState.LEAVING:
-            # It need not know yet that the platform takes it away.
+            # The instance may not know yet that the platform removes it.
             return
         self._departures.pop(name, None)
         self._index_addresses()
@@ -100,7 +103,7 @@
             async with timeout(READ_TIMEOUT):
                 listing = await self._instances.read_instances()
         except (PlatformUnavailable, TimeoutError):
-            # What the list shows after an outage may be from before it.
+            # After an outage, the list may show the state from before it.
             for departure in self._departures.values():
                 departure.live_since = None
             return
@@ -115,14 +118,14 @@
             if listed.state is InstanceState.LEAVING:
                 self._mark(listed.name, 'list')
         for name in tuple(self._departures):
-            self._weigh_return(name)
+            self._check_return(name)
         self._index_addresses()
 
-    def _weigh_return(self, name: str) -> None:
-        # The list carries no revision, so an old line that says "live" looks
-        # like a new one. Believing it would send work to an instance that is
-        # about to go; only lines that say so for longer than the list can
-        # lag prove that an instance of that name is there again.
+    def _check_return(self, name: str) -> None:
+        # The list has no revision, so an outdated "live" line looks like a new
+        # one, and trusting it would send work to an instance that is about to
+        # stop. Only if the list shows "live" for longer than it can lag is an
+        # instance of that name back.
         listed = self._listed.get(name)
         departure = self._departures[name]
         if listed is None or listed.state is InstanceState.LEAVING:
@@ -132,7 +135,7 @@
         now = read_clock()
         if departure.live_since is None:
             departure.live_since = now
-        elif now - departure.live_since > LONGEST_LAG:
+        elif now - departure.live_since > MAX_LIST_LAG:
             self._departures.pop(name)
 
     def _mark(self, name: str, source: str) -> None:
@@ -141,7 +144,7 @@
             return
         listed = self._listed.get(name)
         self._departures[name] = _Departure(listed.address if listed else None)
-        while len(self._departures) > EVIDENCE_LIMIT:
+        while len(self._departures) > MAX_DEPARTURES:
             self._departures.popitem(last=False)
         self._decisions.record(
             Decision(
@@ -151,8 +154,8 @@
         )
 
     def _index_addresses(self) -> None:
-        # An address that the list gives to another instance says nothing of
-        # the one that left it.
+        # An address that the list now assigns to another instance is not
+        # leaving any more.
         self._left_addresses = {
             departure.address
             for name, departure in self._departures.items()
--- a/src/sedgeshunt/membership/isolation.py
+++ b/src/sedgeshunt/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Tell whether this instance is cut off from all that others can serve."""
+"""Detect that this instance is on the wrong side of a network partition."""
 
 from asyncio import sleep
 
@@ -11,33 +11,34 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.statements.dispatch import SiteFinder
 
-LOOK_EVERY = Seconds(0.05)
-# The store and a peer that fell silent within this time of each other were lost
-# to one cut: the store's silence shows up to 0.4 s after it, a peer's up to 0.5
-# s, and a connection that is given up counts from then.
-ONE_CUT = Seconds(0.6)
-# What is suspected for so long and has not come true, as an owner is still
-# heard, was an outage of the store: a reign by lease alone ends within 1 s.
-SUSPECT_FOR = Seconds(2.5)
+CHECK_INTERVAL = Seconds(0.05)
+# The store and a peer that became silent within this time of each other were
+# lost to the same partition: the store's silence is detected up to 0.4 s after
+# it, a peer's up to 0.5 s, and a dropped link keeps the start of its silence.
+PARTITION_WINDOW = Seconds(0.6)
+# A suspicion that is not confirmed for this long, as an owner still answers,
+# was an outage of the store alone: ownership by a lease alone ends within 1 s.
+SUSPICION_TIMEOUT = Seconds(2.5)
 
-# By then all to whom the store is lost have missed an answer: renewals are
-# 0.3 s apart. Who has lost it alone is not cut off.
-ASK_FOR = Seconds(1)
+# By then every instance that lost the store has missed a reply, as renewals
+# are 0.3 s apart. An instance that alone lost the store is not isolated.
+RECHECK_TIME = Seconds(1)
 
 
 class IsolationDetector:
-    """Notice that neither the store nor any group's owner is reached."""
-
-    # A part of the network without the store can't have owners for long, as
-    # their groups are claimed on the other side. Its callers still reach it,
-    # and would be refused one statement after the other, while instances of
-    # the other side could serve them. An instance that says that it is not
-    # ready sends them there. In an outage of the store alone owners go on.
+    """Detect that neither the store nor any group's owner is reachable."""
+
+    # The side of a partition without the store soon has no owners, as its
+    # groups are claimed on the other side. Callers that still reach it would
+    # have every statement refused while the other side could serve them, so
+    # an isolated instance reports that it is not ready and the load balancer
+    # sends callers elsewhere. In an outage of the store alone, owners continue
+    # and no instance is isolated.
     #
-    # The balancer takes 1 to 2 s to leave an instance out, and takes one
-    # question that is answered with "not ready" for nothing. So it is told on
-    # the first suspicion: the store and peers fell silent at once. Peers that
-    # still answer, and an outage that began at another time, raise none.
+    # The balancer takes 1 to 2 s to remove an instance and ignores a single
+    # "not ready" answer. So a first suspicion already counts: the store and
+    # peers became silent at the same time. Peers that still answer, and peers
+    # that were lost at another time, raise no suspicion.
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         configuration: LiveConfiguration,
         decisions: DecisionLog,
     ) -> None:
-        """Assume to be connected."""
+        """Start as connected."""
         self._zone = zone
         self._lease = lease
         self._neighbours = neighbours
@@ -63,57 +64,57 @@
         self.is_recorded = False
 
     def is_isolated(self) -> bool:
-        """Tell whether callers are served better elsewhere."""
+        """Return whether callers should be sent to other instances."""
         return self._is_cut_off or self._is_suspected
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         while True:
-            self._look()
+            self._check()
             if self.is_isolated() != self.is_recorded:
-                self._note()
-            await sleep(LOOK_EVERY)
+                self._record_change()
+            await sleep(CHECK_INTERVAL)
 
-    def _look(self) -> None:
-        if not self._misses_store():
+    def _check(self) -> None:
+        if not self._has_lost_store():
             self._is_cut_off = False
             self._is_suspected = False
             self._suspected_since = None
             return
-        self._is_cut_off = not self._hears_owner()
+        self._is_cut_off = not self._reaches_owner()
         if self._suspected_since is None and self._has_lost_peers():
             self._suspected_since = read_clock()
         since = self._suspected_since
         self._is_suspected = (
-            since is not None and read_clock() - since < SUSPECT_FOR
+            since is not None and read_clock() - since < SUSPICION_TIMEOUT
         )
 
-    def _misses_store(self) -> bool:
-        """Tell whether neither the store nor a peer that has it answers."""
+    def _has_lost_store(self) -> bool:
+        """Return whether the store is unreachable, also through peers."""
         self._lease.look()
         is_overdue = self._lease.is_overdue()
         if not (is_overdue or self._lease.is_doubtful()):
             self._asked_at = None
             return False
         if self._asked_at is None:
-            # Peers that tell little are asked rarely; now it matters.
+            # Most peers get heartbeats rarely; their state is needed now.
             self._asked_at = read_clock()
             self._asked_again_at = self._asked_at
             self._neighbours.wake_all()
         if read_clock() - self._asked_at < HEARTBEAT_MISSED_AFTER:
             return False
         self._ask_again()
-        return is_overdue and not self._hears_store()
+        return is_overdue and not self._reaches_store()
 
     def _ask_again(self) -> None:
-        """Ask those who still had the store a moment ago."""
-        # A cut shows to each instance as its next renewal has no answer. A peer
-        # that is asked before its own says that it has the store, and its word
+        """Send heartbeats to peers that last reported to reach the store."""
+        # An instance notices a partition when its next renewal gets no reply.
+        # A peer asked before that reports to reach the store, and its reply
         # would count until its next heartbeat, up to a second later.
         now = read_clock()
         since = now - (self._asked_at or now)
         if (
-            since > ASK_FOR
+            since > RECHECK_TIME
             or now - self._asked_again_at < HEARTBEAT_MISSED_AFTER
         ):
             return
@@ -123,24 +124,24 @@
                 link.wake()
 
     def _has_lost_peers(self) -> bool:
-        """Tell whether peers fell silent when the store did."""
-        before = self._lease.measure_silence()
+        """Return whether a peer became silent when the store did."""
+        store_silence = self._lease.measure_silence()
         return any(
-            abs(before - silence) < ONE_CUT
+            abs(store_silence - silence) < PARTITION_WINDOW
             for silence in self._neighbours.list_silences()
         )
 
-    def _hears_store(self) -> bool:
+    def _reaches_store(self) -> bool:
         answering = self._neighbours.list_answering()
         return any(link.reaches_store for link in answering)
 
-    def _hears_owner(self) -> bool:
+    def _reaches_owner(self) -> bool:
         return any(
             self._owners.find_owner(group.name) is not None
             for group in self._configuration.list_groups()
         )
 
-    def _note(self) -> None:
+    def _record_change(self) -> None:
         self.is_recorded = not self.is_recorded
         kind = (
             DecisionKind.ZONE_CUT
--- a/src/sedgeshunt/membership/mesh.py
+++ b/src/sedgeshunt/membership/mesh.py
@@ -1,4 +1,4 @@
-"""Own the links to peers and the tasks that keep them."""
+"""Manage the clients of peers and their polling tasks."""
 
 from asyncio import Task, TaskGroup
 from collections.abc import Callable, Sequence
@@ -11,12 +11,12 @@
 from sedgeshunt.membership.peer_clients import PeerClient, PeerState
 from sedgeshunt.ports import Address, PeerConnector, ProxyReport
 
-IDLE_LIMIT = Seconds(30)
+IDLE_TIMEOUT = Seconds(30)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerView:
-    """Hold what this proxy knows of a peer at this moment."""
+    """Hold what this proxy currently knows of a peer."""
 
     peer: KnownPeer
     state: PeerState
@@ -25,7 +25,7 @@
 
 
 class PeerMesh:
-    """Keep a task for each regular peer, and idle links for a while."""
+    """Poll the regular peers, and keep idle clients for a while."""
 
     def __init__(
         self,
@@ -37,33 +37,38 @@
         self._connector = connector
         self._on_report = on_report
         self._random = random
-        self._links: dict[Address, PeerClient] = {}
+        self._clients: dict[Address, PeerClient] = {}
         self._tasks: dict[Address, Task[None]] = {}
 
     def is_regular(self, address: Address) -> bool:
-        """Tell whether the peer is asked regularly."""
+        """Return whether the peer is polled regularly."""
         return address in self._tasks
 
     def find_client(self, address: Address) -> PeerClient:
-        """Return the link to a peer, a new one if there is none."""
-        link = self._links.get(address)
-        if link is None:
+        """Return the client of a peer, a new one if there is none."""
+        client = self._clients.get(address)
+        if client is None:
             on_report = partial(self._on_report, address)
-            link = PeerClient(address, self._connector, on_report, self._random)
-            self._links[address] = link
-        return link
+            client = PeerClient(
+                address,
+                self._connector,
+                on_report,
+                self._random,
+            )
+            self._clients[address] = client
+        return client
 
     def view(self, peer: KnownPeer, *, is_leaving: bool) -> PeerView:
         """Return what is known of a peer."""
-        link = self._links.get(peer.address)
+        client = self._clients.get(peer.address)
         leaving = PeerState.LEAVING if is_leaving else None
-        if link is None:
+        if client is None:
             return PeerView(peer, leaving or PeerState.UNKNOWN, None, None)
         return PeerView(
             peer,
-            leaving or link.state,
-            None if link.report is None else link.report.revision,
-            link.measure_silence(),
+            leaving or client.state,
+            None if client.report is None else client.report.revision,
+            client.measure_silence(),
         )
 
     def choose_source(
@@ -71,12 +76,12 @@
         views: Sequence[PeerView],
         known: Revision,
     ) -> KnownPeer | None:
-        """Choose whom to ask for more than `known`, None if none is known."""
+        """Choose a peer likely to have a newer revision than `known`."""
         reachable = [
             view for view in views if view.state is not PeerState.UNREACHABLE
         ]
         newer = [view for view in reachable if (view.revision or 0) > known]
-        # Those have a connection already; the rest stands in for them only.
+        # Regular peers have an open connection; others are a fallback.
         regular = [
             view for view in reachable if self.is_regular(view.peer.address)
         ]
@@ -85,18 +90,18 @@
                 return self._random.choice(choice).peer
         return None
 
-    def tend(self, wanted: set[Address], tasks: TaskGroup) -> None:
-        """Ask exactly the `wanted` peers regularly, drop idle links."""
+    def update(self, wanted: set[Address], tasks: TaskGroup) -> None:
+        """Poll exactly the `wanted` peers, and close idle clients."""
         for address in wanted - self._tasks.keys():
-            link = self.find_client(address)
-            self._tasks[address] = tasks.create_task(link.run())
+            client = self.find_client(address)
+            self._tasks[address] = tasks.create_task(client.run())
         for dropped in self._tasks.keys() - wanted:
             self._tasks.pop(dropped).cancel()
-        for idle in self._links.keys() - wanted:
-            if self._links[idle].is_idle(IDLE_LIMIT):
-                tasks.create_task(self._links.pop(idle).close())
+        for idle in self._clients.keys() - wanted:
+            if self._clients[idle].is_idle(IDLE_TIMEOUT):
+                tasks.create_task(self._clients.pop(idle).close())
 
     async def close(self) -> None:
-        """Drop all connections."""
-        for link in self._links.values():
-            await link.close()
+        """Close all connections."""
+        for client in self._clients.values():
+            await client.close()
--- a/src/sedgeshunt/membership/neighbours.py
+++ b/src/sedgeshunt/membership/neighbours.py
@@ -1,4 +1,4 @@
-"""Keep in touch with the other instances that the store lists."""
+"""Maintain the links to other instances that the store lists."""
 
 from asyncio import Task, TaskGroup
 from collections.abc import Iterator
@@ -15,14 +15,15 @@
 from sedgeshunt.registry.keys import INSTANCES_PREFIX
 from sedgeshunt.registry.store_view import StoreView
 
-# An instance that the store lists no more is given up after so long without
-# an answer; until then it may only have lost its lease. So is one that this
-# instance has nothing to do with any more, once no call is under way there.
-FORGET_AFTER = Seconds(10)
+# The link to an instance that the store no longer lists is dropped after this
+# long without an answer; until then the instance may only have lost its lease.
+# The same time applies to a link that is not needed any more, once it has no
+# call under way.
+DROP_AFTER = Seconds(10)
 
 
 class _Neighbour(Struct):
-    """Hold the link to one instance and the task that keeps it."""
+    """Hold the link to one instance and the task that runs it."""
 
     link: PeerLink
     task: Task[None]
@@ -31,7 +32,7 @@
 
 
 class Neighbours(KnownPeers):
-    """Own the links to the other instances of the circle."""
+    """Own the links to the instances that the topology selects."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         connector: FrameConnector,
         events: LinkEvents,
     ) -> None:
-        """Know nobody yet."""
+        """Start without links."""
         self._own = own
         self._view = view
         self._topology = topology
@@ -57,8 +58,8 @@
         return self._own.name
 
     def list_instances(self) -> list[InstanceEntry]:
-        """List the instances that hold a lease, this one included."""
-        # Read once for each change: a large fleet's list takes milliseconds.
+        """List the instances that hold a lease, including this one."""
+        # Cached until a change, as a large fleet's list takes milliseconds.
         if self._listed is None:
             entries = (
                 read_entry(pair.value, InstanceEntry)
@@ -75,24 +76,24 @@
         return None
 
     def list_known(self) -> list[ProxyId]:
-        """List the instances of the circle, whether they answer or not."""
+        """List the instances with a link, whether they answer or not."""
         return list(self._known)
 
     def find_link(self, name: ProxyId) -> PeerLink | None:
-        """Return the link to an instance that answers, None without one."""
+        """Return the link to an instance, None unless it is alive."""
         known = self._known.get(name)
         if known is None or not known.link.is_alive():
             return None
         return known.link
 
     def list_alive(self) -> Iterator[PeerLink]:
-        """Yield the links to the instances that answer."""
+        """Yield the links to the instances that are alive."""
         for known in self._known.values():
             if known.link.is_alive():
                 yield known.link
 
     def list_answering(self) -> list[PeerLink]:
-        """List the links whose peers have answered the latest heartbeats."""
+        """List the links whose peers answered the latest heartbeats."""
         return [
             known.link
             for known in self._known.values()
@@ -100,7 +101,7 @@
         ]
 
     def list_silences(self) -> list[Seconds]:
-        """List for how long each peer that was heard has been silent."""
+        """List how long each silent peer has not answered."""
         silences = (
             known.link.measure_silence() for known in self._known.values()
         )
@@ -112,12 +113,12 @@
             known.link.wake()
 
     def is_owner_heard(self, group: GroupId, owner: ProxyId) -> bool:
-        """Tell whether a peer says that it still owns a group."""
+        """Return whether a live peer still reports to own a group."""
         link = self.find_link(owner)
         return link is not None and group in link.owned
 
     def update(self, tasks: TaskGroup) -> None:
-        """Take in the instances that the store lists now."""
+        """Add and drop links after the instances that the store lists."""
         instances = self.list_instances()
         needed = self._topology.choose_neighbours(instances) - {self._own.name}
         listed = {entry.name: entry for entry in instances}
@@ -130,7 +131,7 @@
             self.connect(listed[name], tasks)
 
     def connect(self, entry: InstanceEntry, tasks: TaskGroup) -> None:
-        """Keep in touch with an instance from now on."""
+        """Open a link to an instance, or keep the one to its address."""
         known = self._known.get(entry.name)
         if known is not None and known.link.peer.address == entry.address:
             known.unlisted_since = None
@@ -138,7 +139,7 @@
             known.link.peer = entry
             return
         if known is not None:
-            self._forget(entry.name)
+            self._drop(entry.name)
         link = PeerLink(entry, self._connector, self._events)
         self._known[entry.name] = _Neighbour(
             link,
@@ -150,8 +151,8 @@
         now = read_clock()
         if known.link.is_alive() or known.unlisted_since is None:
             known.unlisted_since = now
-        elif now - known.unlisted_since > FORGET_AFTER:
-            self._forget(name)
+        elif now - known.unlisted_since > DROP_AFTER:
+            self._drop(name)
 
     def _note_unneeded(self, name: ProxyId) -> None:
         known = self._known[name]
@@ -159,12 +160,12 @@
         if known.unneeded_since is None:
             known.unneeded_since = now
         unneeded_for = now - known.unneeded_since
-        if min(unneeded_for, known.link.measure_idle()) > FORGET_AFTER:
-            self._forget(name)
+        if min(unneeded_for, known.link.measure_idle()) > DROP_AFTER:
+            self._drop(name)
 
     def _note_change(self, key: str) -> None:
         if not key or key.startswith(INSTANCES_PREFIX):
             self._listed = None
 
-    def _forget(self, name: ProxyId) -> None:
+    def _drop(self, name: ProxyId) -> None:
         self._known.pop(name).task.cancel()
--- a/src/sedgeshunt/membership/peer_clients.py
+++ b/src/sedgeshunt/membership/peer_clients.py
@@ -1,4 +1,4 @@
-"""Keep in touch with one other proxy."""
+"""Call one other proxy and keep its latest report."""
 
 from asyncio import Lock, sleep, timeout
 from collections.abc import Awaitable, Callable
@@ -16,18 +16,18 @@
     ProxyReport,
 )
 
-REPORT_EVERY = Seconds(1)
-# A peer that does not answer is asked less often, up to this.
-LONGEST_PAUSE = Seconds(5)
+REPORT_INTERVAL = Seconds(1)
+# The interval grows up to this while a peer does not answer.
+MAX_REPORT_INTERVAL = Seconds(5)
 CALL_TIMEOUT = Seconds(0.5)
-# Silence after which an answer proves nothing any more.
-SILENCE_LIMIT = Seconds(3)
+# Age after which the last answer proves nothing of a peer's state.
+ANSWER_EXPIRY = Seconds(3)
 
 _Answer = TypeVar('_Answer')
 
 
 class PeerState(Enum):
-    """Tell what direct evidence says of a peer."""
+    """Name a peer's state by direct evidence."""
 
     UNKNOWN = 'unknown'
     ALIVE = 'alive'
@@ -45,7 +45,7 @@
         on_report: Callable[[ProxyReport], None],
         random: Random,
     ) -> None:
-        """Connect at the first call."""
+        """Prepare; the first call connects."""
         self.address = address
         self.report: ProxyReport | None = None
         self.used_at: Monotonic | None = None
@@ -54,40 +54,43 @@
         self._random = random
         self._connection: PeerConnection | None = None
         self._answered_at: Monotonic | None = None
-        # Calls without an answer since the last one that had it.
+        # Failed calls since the last answer.
         self.failures = 0
         self._lock = Lock()
 
     @property
     def state(self) -> PeerState:
-        """Return the state as of this moment."""
+        """Return the current state."""
         if self.failures:
             return PeerState.UNREACHABLE
         silence = self.measure_silence()
-        # Also after a pause of this process: the answer is old by then, and
-        # the peer may have gone meanwhile.
-        if silence is None or silence > SILENCE_LIMIT:
+        # Covers a pause of this process too: the answer is outdated then, as
+        # the peer may have stopped meanwhile.
+        if silence is None or silence > ANSWER_EXPIRY:
             return PeerState.UNKNOWN
         if self.report is not None and self.report.stopping:
             return PeerState.LEAVING
         return PeerState.ALIVE
 
     def measure_silence(self) -> Seconds | None:
-        """Return the time since the last answer, None before the first."""
+        """Return the time since the last answer; None before the first."""
         if self._answered_at is None:
             return None
         return Seconds(read_clock() - self._answered_at)
 
     def is_idle(self, limit: Seconds) -> bool:
-        """Tell whether nothing was asked for longer than `limit`."""
+        """Return whether the last call is longer ago than `limit`."""
         return self.used_at is None or read_clock() - self.used_at > limit
 
     async def run(self) -> None:
-        """Ask for the peer's report until cancelled."""
+        """Poll the peer's report until cancelled."""
         try:
             while True:
                 await self._ask_report()
-                pause = min(LONGEST_PAUSE, REPORT_EVERY * (self.failures + 1))
+                pause = min(
+                    MAX_REPORT_INTERVAL,
+                    REPORT_INTERVAL * (self.failures + 1),
+                )
                 await sleep(pause * self._random.uniform(0.75, 1.25))
         finally:
             await self.close()
@@ -97,7 +100,7 @@
         ask: Callable[[PeerConnection], Awaitable[_Answer]],
         limit: Seconds = CALL_TIMEOUT,
     ) -> _Answer:
-        """Put one question within `limit`; raise PeerUnreachable."""
+        """Make one call within `limit`; raise PeerUnreachable."""
         self.used_at = read_clock()
         try:
             async with timeout(limit), self._lock:
@@ -114,7 +117,7 @@
         return answer
 
     async def close(self) -> None:
-        """Drop the connection; closing twice does no harm."""
+        """Close the connection; closing twice is harmless."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -131,8 +134,8 @@
             answer = await ask(self._connection)
             answered = True
         finally:
-            # The answer to a question given up may still come; on the same
-            # connection it would be taken for the answer to the next one.
+            # The answer to an abandoned call may still arrive; on the same
+            # connection it would be read as the answer to the next call.
             if not answered:
                 await self.close()
         return answer
--- a/src/sedgeshunt/membership/peers.py
+++ b/src/sedgeshunt/membership/peers.py
@@ -1,4 +1,4 @@
-"""Know the other proxies and put questions to them."""
+"""Track the other proxies and send them requests."""
 
 from asyncio import Semaphore, TaskGroup, sleep, timeout
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 from sedgeshunt.membership.choice import KnownPeer, choose_peers, rank_peers
 from sedgeshunt.membership.directory import PeerDirectory
 from sedgeshunt.membership.mesh import PeerMesh, PeerView
-from sedgeshunt.membership.peer_clients import REPORT_EVERY, PeerState
+from sedgeshunt.membership.peer_clients import REPORT_INTERVAL, PeerState
 from sedgeshunt.membership.zones import ZoneWatch
 from sedgeshunt.ports import (
     Address,
@@ -26,16 +26,16 @@
 
 PANEL_SIZE = 8
 PANEL_TIMEOUT = Seconds(0.3)
-# A whole configuration of a large fleet takes longer than a report.
+# The whole configuration of a large fleet takes longer to copy than a report.
 COPY_TIMEOUT = Seconds(2)
 ANNOUNCE_TIMEOUT = Seconds(2)
-ANNOUNCED_AT_ONCE = 32
-# One lost answer must not take a peer's word out of a failover decision.
+MAX_CONCURRENT_ANNOUNCEMENTS = 32
+# A single lost answer must not exclude a peer from a failover decision.
 TOLERATED_FAILURES = 2
 
 
 class PeerRoster(PeerPanel, PeerSource):
-    """Keep one task for each peer that is asked regularly."""
+    """Poll the chosen peers and send requests to any peer."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         decisions: DecisionLog,
         random: Random | None = None,
     ) -> None:
-        """Ask nobody until `run` is started."""
+        """Prepare; `run` polls the peers."""
         self.zones = ZoneWatch(zone, decisions)
         self._proxy = proxy
         self._zone = zone
@@ -67,14 +67,14 @@
         self._reach = Reach(snapshot)
 
     async def run(self) -> None:
-        """Keep in touch with the chosen peers until cancelled."""
+        """Poll the chosen peers until cancelled."""
         async with AsyncExitStack() as owned:
             owned.push_async_callback(self._mesh.close)
             tasks = await owned.enter_async_context(TaskGroup())
             while True:
-                self._mesh.tend(self._choose_regular(), tasks)
-                self.zones.look(self._list_zone_states())
-                await sleep(REPORT_EVERY * self._random.uniform(0.75, 1.25))
+                self._mesh.update(self._choose_regular(), tasks)
+                self.zones.update(self._list_zone_states())
+                await sleep(REPORT_INTERVAL * self._random.uniform(0.75, 1.25))
 
     def list_peers(self) -> list[PeerView]:
         """Return what is known of each peer."""
@@ -84,10 +84,10 @@
         ]
 
     def list_live_proxies(self) -> list[ProxyId]:
-        """List the other proxies that nothing speaks against, by name."""
-        # Not hearing of a peer that is asked only on demand proves nothing;
-        # it counts as live until its own silence, its word or the list says
-        # otherwise.
+        """List the names of proxies not known to be leaving or unreachable."""
+        # A peer that is called only on demand may have no recent answer; it
+        # counts as live until a call fails, or its report or the instance list
+        # shows that it is leaving.
         gone = {PeerState.UNREACHABLE, PeerState.LEAVING}
         return sorted(
             ProxyId(view.peer.name)
@@ -96,7 +96,7 @@
         )
 
     async def ask_primary(self, group: GroupId) -> Sequence[PrimaryReport]:
-        """Return the answers that came within a short time; never raise."""
+        """Return the reports that arrive within a short time; never raise."""
         async with TaskGroup() as tasks:
             asked = [
                 tasks.create_task(self._ask_primary_of(peer, group))
@@ -106,13 +106,13 @@
         return [answer for answer in answers if answer is not None]
 
     async def copy_newer(self, known: Revision) -> ConfigurationCopy | None:
-        """Ask one peer within a short time; None if it has none, or is gone."""
+        """Ask one peer for a newer configuration; return None on failure."""
         peer = self._mesh.choose_source(self.list_peers(), known)
         if peer is None:
             return None
-        link = self._mesh.find_client(peer.address)
+        client = self._mesh.find_client(peer.address)
         try:
-            return await link.call(
+            return await client.call(
                 lambda connection: connection.copy_configuration(known),
                 COPY_TIMEOUT,
             )
@@ -120,14 +120,14 @@
             return None
 
     async def announce_leaving(self, name: str) -> None:
-        """Tell all peers that an instance leaves, within a bounded time."""
-        permits = Semaphore(ANNOUNCED_AT_ONCE)
+        """Announce to all peers that an instance leaves, in a bounded time."""
+        permits = Semaphore(MAX_CONCURRENT_ANNOUNCEMENTS)
         try:
             async with timeout(ANNOUNCE_TIMEOUT), TaskGroup() as tasks:
                 for peer in self._directory.list_peers():
                     tasks.create_task(self._announce(peer, name, permits))
         except TimeoutError:
-            # The rest learn it from the list, or from a refused connection.
+            # The other peers notice by the list or by a refused connection.
             return
 
     async def _ask_primary_of(
@@ -135,9 +135,9 @@
         peer: KnownPeer,
         group: GroupId,
     ) -> PrimaryReport | None:
-        link = self._mesh.find_client(peer.address)
+        client = self._mesh.find_client(peer.address)
         try:
-            return await link.call(
+            return await client.call(
                 lambda connection: connection.report_primary(group),
                 PANEL_TIMEOUT,
             )
@@ -150,10 +150,10 @@
         name: str,
         permits: Semaphore,
     ) -> None:
-        link = self._mesh.find_client(peer.address)
+        client = self._mesh.find_client(peer.address)
         async with permits:
             try:
-                await link.call(
+                await client.call(
                     lambda connection: connection.announce_leaving(name),
                 )
             except PeerUnreachable:
--- a/src/sedgeshunt/membership/questions.py
+++ b/src/sedgeshunt/membership/questions.py
@@ -1,4 +1,4 @@
-"""Define what operators ask proxies to explain."""
+"""Define the routing questions that operators send to proxies."""
 
 from msgspec import Struct
 
@@ -6,7 +6,7 @@
 
 
 class Question(Struct, frozen=True, omit_defaults=True):
-    """Ask how a read of a class would be routed now."""
+    """Ask how a read of a traffic class would be routed now."""
 
     group: GroupId
     traffic_class: TrafficClass = TrafficClass('default')
--- a/src/sedgeshunt/membership/quota_links.py
+++ b/src/sedgeshunt/membership/quota_links.py
@@ -1,4 +1,4 @@
-"""Know which instances count what customers begin, and reach them."""
+"""Select the quota servers of customers and send them requests."""
 
 from collections.abc import Sequence
 
@@ -18,34 +18,36 @@
 from sedgeshunt.membership.rendezvous import choose_quota_servers, group_by_zone
 from sedgeshunt.registry.entries import InstanceEntry
 
-# A counter that lends answers within two ways and its own work.
+# A quota server that lends tokens answers within one round trip and the time
+# of its own work.
 BORROW_TIMEOUT = Seconds(0.05)
-# Instances that the store has lost may be cut off for so long.
-LONGEST_CUT = Seconds(60)
+# Instances that the store no longer lists may still serve behind a network
+# partition for up to this time.
+MAX_PARTITION_TIME = Seconds(60)
 
 
 class _KnownPlan(Struct, frozen=True):
-    """Hold who counts, for one list of instances."""
+    """Cache the quota servers for one list of instances."""
 
     instances: Sequence[InstanceEntry]
     plan: QuotaServerPlan
 
 
 class PeerQuotaLinks(QuotaLinks):
-    """Reach the counters over the links that exist anyway."""
+    """Reach the quota servers over the links between instances."""
 
     def __init__(self, own: InstanceEntry, neighbours: Neighbours) -> None:
-        """Ask as the instance `own`."""
+        """Send requests from the instance `own`."""
         self._own = own
         self._neighbours = neighbours
         self._known: _KnownPlan | None = None
         self._assignment = PartAssignment()
-        # The largest fleet of late, and when it was seen.
+        # The largest recent size of the fleet, and when it was last seen.
         self._fleet = 1
         self._fleet_at = Boottime(0)
 
     def plan(self) -> QuotaServerPlan:
-        """Tell who counts, by the instances that are known now."""
+        """Return the quota servers among the instances known now."""
         instances = self._neighbours.list_instances()
         known = self._known
         if known is None or known.instances is not instances:
@@ -59,15 +61,15 @@
         return known.plan
 
     def gives_part(self, peer: ProxyId) -> bool:
-        """Tell whether a heartbeat to a peer is to bring the own part."""
+        """Return whether a heartbeat to `peer` assigns it the own part."""
         return self._assignment.assign(peer, self.find_quota_server())
 
     def keeps_own_part(self) -> bool:
-        """Tell whether this proxy counts its own part of limits itself."""
+        """Return whether this proxy holds its own part of limits itself."""
         return self._assignment.assign(self._own.name, self.find_quota_server())
 
     def find_quota_server(self) -> ProxyId | None:
-        """Return the counter to ask first, None when none is reached."""
+        """Return the quota server to ask first, None if all are unreachable."""
         plan = self.plan()
         for name in (*plan.near, *plan.far):
             if name == self._own.name or self._is_answering(name):
@@ -80,7 +82,7 @@
         request: QuotaRequest,
         limit: Seconds,
     ) -> QuotaGrant | None:
-        """Ask a counter; None when it gives no answer within `limit`."""
+        """Ask a quota server; return None without an answer in `limit`."""
         link = self._neighbours.find_link(counter)
         if link is None or not link.is_answering():
             return None
@@ -91,10 +93,10 @@
         return link is not None and link.is_answering()
 
     def _measure_fleet(self, listed: int) -> int:
-        # Those that are cut off are listed no more after a while, and spend
-        # their parts all the same.
+        # Partitioned instances disappear from the list after a while but still
+        # use their parts of the limits.
         now = read_boottime()
-        if listed >= self._fleet or now - self._fleet_at > LONGEST_CUT:
+        if listed >= self._fleet or now - self._fleet_at > MAX_PARTITION_TIME:
             self._fleet = max(1, listed)
             self._fleet_at = now
         return self._fleet
@@ -105,7 +107,7 @@
     instances: Sequence[InstanceEntry],
     fleet: int,
 ) -> QuotaServerPlan:
-    """Choose who counts for the callers of one instance."""
+    """Choose the quota servers for the callers of one instance."""
     near = choose_quota_servers(own.zone, instances)
     far = [
         name
@@ -120,5 +122,5 @@
 
 
 def _spread(own: ProxyId, counters: Sequence[ProxyId]) -> tuple[ProxyId, ...]:
-    # Each instance asks another one first, so that the parts are spent alike.
+    # Instances prefer different servers, so that parts are used up evenly.
     return tuple(sorted(counters, key=lambda name: weigh(own, name)))
--- a/src/sedgeshunt/membership/readers.py
+++ b/src/sedgeshunt/membership/readers.py
@@ -1,4 +1,4 @@
-"""Choose who reads a group's replicas, with how many connections."""
+"""Choose the instances that read a group's replicas, and their connections."""
 
 from collections.abc import Mapping, Sequence
 from functools import partial
@@ -10,35 +10,35 @@
 from sedgeshunt.membership.rendezvous import group_by_zone, rank_instances
 from sedgeshunt.registry.entries import InstanceEntry
 
-# Instances of each zone that read a group's replicas at the most: one may be
-# gone and another be stopping.
+# Most readers of a group's replicas in each zone: one may be lost while
+# another is stopping.
 READERS_PER_ZONE = 3
-# Connections that a reader needs to each replica: an open transaction keeps one
-# for hundreds of milliseconds, and reads behind it wait.
-SMALLEST_SHARE = 3
-# Connections to each target that are left for its owner's questions and for
-# instances that have just come.
+# Least connections of a reader to each replica: an open transaction occupies
+# one for hundreds of milliseconds, and other reads would wait for it.
+MIN_CONNECTIONS = 3
+# Connections to each target that are reserved for requests of the group's owner
+# and for instances that have just started.
 RESERVED_CONNECTIONS = 4
-# Connections of a reader to a replica of another zone, for when those of that
-# zone are not reached: one for a transaction, one for single statements.
-AWAY_SHARE = 2
+# Connections of a reader to a replica of another zone, for when the readers of
+# that zone are unreachable: one for a transaction, one for single statements.
+REMOTE_CONNECTIONS = 2
 
 
 class ReaderShare(Struct, frozen=True):
-    """Hold what one reader has of one replica."""
+    """Hold one reader's share of the connections to one replica."""
 
     connections: int
-    # Readers among which the replica's places are shared out.
+    # Readers that the replica's connections are divided among.
     readers: int = 1
 
 
 class ReaderPlan(Struct, frozen=True):
-    """Hold who reads a group's replicas, with how many connections each."""
+    """Hold the readers of a group's replicas and their connections."""
 
     readers: Mapping[ZoneId, tuple[ProxyId, ...]]
     # Connections to each replica for all readers together.
     total_connections: int
-    # Most connections to a replica belong to the readers of its own zone.
+    # Whether the readers of a replica's own zone get most connections to it.
     prefers_own_zone: bool = False
 
     def list_names(self) -> tuple[ProxyId, ...]:
@@ -49,9 +49,15 @@
         """Return a reader's share of a replica, by their zones."""
         near = len(self.readers.get(target, ()))
         count = len(self.list_names())
-        for_near = self.total_connections - (count - near) * AWAY_SHARE
-        if self.prefers_own_zone and near and for_near > near * AWAY_SHARE:
-            connections = for_near // near if reader == target else AWAY_SHARE
+        for_near = self.total_connections - (count - near) * REMOTE_CONNECTIONS
+        if (
+            self.prefers_own_zone
+            and near
+            and for_near > near * REMOTE_CONNECTIONS
+        ):
+            connections = (
+                for_near // near if reader == target else REMOTE_CONNECTIONS
+            )
             return ReaderShare(connections, near)
         equal = self.total_connections // max(1, count)
         return ReaderShare(max(1, equal), count)
@@ -64,16 +70,16 @@
     *,
     prefers_own_zone: bool = False,
 ) -> ReaderPlan:
-    """Choose who reads replicas that take `limit` connections each.
+    """Choose the readers of replicas that take `limit` connections each.
 
-    Each instance finds the same by itself; one that comes or goes changes the
-    readers of its own zone only.
+    All instances compute the same plan. An instance that joins or leaves
+    changes the readers of its own zone only.
     """
     total_connections = max(1, limit - RESERVED_CONNECTIONS)
     zones = group_by_zone(instances)
     per_zone = READERS_PER_ZONE
     if zones:
-        most = total_connections // SMALLEST_SHARE // len(zones)
+        most = total_connections // MIN_CONNECTIONS // len(zones)
         per_zone = min(per_zone, max(1, most))
     chosen = map(partial(_choose_readers, group, per_zone), zones.values())
     return ReaderPlan(
--- a/src/sedgeshunt/membership/registration.py
+++ b/src/sedgeshunt/membership/registration.py
@@ -1,4 +1,4 @@
-"""Tell whether the store lists this process."""
+"""Check whether the store lists this process."""
 
 from asyncio import timeout
 from contextlib import suppress
@@ -11,21 +11,21 @@
 
 
 class StoreViewRegistration(Registration):
-    """Look for this process in the view of the store."""
+    """Look up this process in the view of the store."""
 
     def __init__(self, view: StoreView, own: InstanceEntry) -> None:
-        """Look for the entry `own`."""
+        """Look up the entry `own`."""
         self._view = view
         self._own = own
 
     async def wait_known(self, limit: Seconds) -> None:
-        """Wait until it is known what the store holds, or `limit` is over."""
+        """Wait until the view is loaded, or for `limit` at the most."""
         with suppress(TimeoutError):
             async with timeout(limit):
                 await self._view.loaded.wait()
 
     def is_missing(self) -> bool:
-        """Tell whether the store surely does not list this process."""
+        """Return whether the store certainly does not list this process."""
         if not (self._view.is_reached and self._view.loaded.is_set()):
             return False
         pair = self._view.get(make_instance_key(self._own.name))
--- a/src/sedgeshunt/membership/rendezvous.py
+++ b/src/sedgeshunt/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Draw instances for a purpose, so that all of them find the same."""
+"""Choose instances by rendezvous hashing; all instances agree on them."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -9,19 +9,19 @@
 from sedgeshunt.identifiers import ProxyId, ZoneId
 from sedgeshunt.registry.entries import InstanceEntry
 
-# Instances of each zone that watch the store for all of it, beside those who
-# may own a group: one may be lost while the other takes over its followers.
+# Instances of each zone that watch the store for the whole zone, besides the
+# candidates of groups: if one is lost, the other takes over its followers.
 WATCHERS_PER_ZONE = 2
-# Instances of each zone that count what customers begin: one may be lost.
+# Quota servers in each zone: one may be lost.
 QUOTA_SERVERS_PER_ZONE = 2
-LARGEST_WEIGHT = 2**64
+HASH_RANGE = 2**64
 
 
 def choose_watchers(
     zone: ZoneId,
     instances: Iterable[InstanceEntry],
 ) -> tuple[ProxyId, ...]:
-    """Choose who watches the store for a zone; all find the same."""
+    """Choose the instances that watch the store for a zone."""
     return _choose('watchers', zone, instances)[:WATCHERS_PER_ZONE]
 
 
@@ -29,14 +29,14 @@
     zone: ZoneId,
     instances: Iterable[InstanceEntry],
 ) -> tuple[ProxyId, ...]:
-    """Choose who counts in a zone; all find the same."""
+    """Choose the quota servers of a zone."""
     return _choose('counters', zone, instances)[:QUOTA_SERVERS_PER_ZONE]
 
 
 def group_by_zone(
     instances: Iterable[InstanceEntry],
 ) -> dict[ZoneId, list[InstanceEntry]]:
-    """Return the instances of each zone."""
+    """Return the instances by zone."""
     zones = defaultdict(list)
     for entry in instances:
         zones[entry.zone].append(entry)
@@ -44,11 +44,11 @@
 
 
 def rank_instances(
-    place: str,
+    purpose: str,
     instances: Iterable[InstanceEntry],
 ) -> list[InstanceEntry]:
-    """Return the instances, the one drawn for `place` first."""
-    return sorted(instances, key=partial(_weigh, place), reverse=True)
+    """Return the instances in the order of preference for `purpose`."""
+    return sorted(instances, key=partial(_weigh, purpose), reverse=True)
 
 
 def _choose(
@@ -61,11 +61,11 @@
     return tuple(entry.name for entry in ranked)
 
 
-def _weigh(place: str, entry: InstanceEntry) -> float:
-    """Return a weight that is the largest as often as the instance is fast.
+def _weigh(purpose: str, entry: InstanceEntry) -> float:
+    """Return a score that is the highest in proportion to the capacity.
 
     Source: weighted rendezvous hashing, Schindelhauer and Schomaker, Weighted
     Distributed Hash Tables, SPAA 2005.
     """
-    drawn = int.from_bytes(weigh(place, entry.name), 'big')
-    return -entry.capacity / log((drawn + 1) / (LARGEST_WEIGHT + 1))
+    hashed = int.from_bytes(weigh(purpose, entry.name), 'big')
+    return -entry.capacity / log((hashed + 1) / (HASH_RANGE + 1))
--- a/src/sedgeshunt/membership/topology.py
+++ b/src/sedgeshunt/membership/topology.py
@@ -1,4 +1,4 @@
-"""Choose whom an instance keeps in touch with, and who reads replicas."""
+"""Choose the instances that an instance keeps links to."""
 
 from collections.abc import Iterator, Sequence
 from itertools import chain
@@ -18,23 +18,24 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 from sedgeshunt.registry.entries import InstanceEntry
 
-# Up to so many instances all know each other: a heartbeat a second to each
-# costs them less than a second way for a call.
-SMALL_FLEET = 12
-# Instances of each zone that any other one knows whatever it does, so that it
-# notices being cut off and hears of a new configuration.
-WITNESSES_PER_ZONE = 1
+# Fleets of up to this many instances form a full mesh: one heartbeat a second
+# to each costs less than relaying a call over another instance.
+FULL_MESH_LIMIT = 12
+# Instances of each zone that every other instance keeps a link to, whatever
+# groups it serves, to notice a network partition and learn of a new
+# configuration.
+CONTACTS_PER_ZONE = 1
 
 
 class _KnownWatchers(Struct, frozen=True):
-    """Hold who watches the store for a zone, for one list of instances."""
+    """Cache the store watchers of a zone for one list of instances."""
 
     instances: Sequence[InstanceEntry]
     names: tuple[ProxyId, ...]
 
 
 class Topology:
-    """Know the part of the fleet that one instance has to do with."""
+    """Select the instances that one instance exchanges heartbeats with."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         configuration: LiveConfiguration,
         records: GroupRecords,
     ) -> None:
-        """Choose for the instance `own`."""
+        """Select from the view of the instance `own`."""
         self._own = own
         self._configuration = configuration
         self._records = records
@@ -52,16 +53,16 @@
         self,
         instances: Sequence[InstanceEntry],
     ) -> frozenset[ProxyId]:
-        """Return the instances to keep in touch with."""
-        if len(instances) <= SMALL_FLEET:
+        """Return the names of the instances to keep links to."""
+        if len(instances) <= FULL_MESH_LIMIT:
             return frozenset(entry.name for entry in instances)
         groups = self._configuration.list_groups()
         parts = (self._list_partners(group, instances) for group in groups)
         return frozenset(
             chain(
-                _choose_witnesses(self._own.name, instances),
+                _choose_contacts(self._own.name, instances),
                 self.list_watchers(instances),
-                self._list_counters(instances),
+                self._list_quota_servers(instances),
                 *parts,
             ),
         )
@@ -70,37 +71,37 @@
         self,
         instances: Sequence[InstanceEntry],
     ) -> tuple[ProxyId, ...]:
-        """List who watches the store for the own zone."""
+        """List the instances that watch the store for the own zone."""
         if self._watchers.instances is not instances:
             chosen = choose_watchers(self._own.zone, instances)
             self._watchers = _KnownWatchers(instances, chosen)
         return self._watchers.names
 
     def is_watcher(self, instances: Sequence[InstanceEntry]) -> bool:
-        """Tell whether this instance watches the store itself."""
-        if len(instances) <= SMALL_FLEET:
+        """Return whether this instance watches the store itself."""
+        if len(instances) <= FULL_MESH_LIMIT:
             return True
-        # Who may claim a group has to see at once that its owner is gone.
+        # A candidate has to notice at once when the owner of its group is lost.
         if self.is_candidate_of_any():
             return True
         return self._own.name in self.list_watchers(instances)
 
     def is_candidate(self, group: GroupId) -> bool:
-        """Tell whether this instance may claim a group."""
+        """Return whether this instance may claim a group."""
         record = self._records.find_record(group)
         return record is not None and self._own.name in record.candidates
 
     def is_candidate_of_any(self) -> bool:
-        """Tell whether this instance may claim any group."""
+        """Return whether this instance may claim any group."""
         groups = self._configuration.declared.groups
         return any(map(self.is_candidate, groups))
 
-    def _list_counters(
+    def _list_quota_servers(
         self,
         instances: Sequence[InstanceEntry],
     ) -> Iterator[ProxyId]:
-        # Whoever may be cut off from the counters of its own zone asks those of
-        # others; and counters lend each other what is left.
+        # An instance that can't reach the quota servers of its own zone asks
+        # those of other zones, and quota servers borrow tokens from each other.
         if self._configuration.has_customers():
             for zone in group_by_zone(instances):
                 yield from choose_quota_servers(zone, instances)
@@ -116,7 +117,7 @@
         record = self._records.find_record(group.name)
         if record is not None:
             yield record.owner
-            # Each candidate hears the owner, and the owner all candidates.
+            # Candidates and the owner exchange heartbeats with each other.
             if self._own.name in (*record.candidates, record.owner):
                 yield from record.candidates
         plan = plan_readers(
@@ -132,16 +133,16 @@
         zones = {self._own.zone}
         members = self._configuration.find_members(group)
         if members is not None and self._configuration.has_customers():
-            # A customer's reads gather near any of the replicas.
+            # A customer's reads go to the readers near any of the replicas.
             zones.update(known.target.zone for known in members.targets)
         return zones
 
 
-def _choose_witnesses(
+def _choose_contacts(
     own: ProxyId,
     instances: Sequence[InstanceEntry],
 ) -> Iterator[ProxyId]:
     others = [entry for entry in instances if entry.name != own]
     for members in group_by_zone(others).values():
         ranked = rank_instances(f'witnesses of {own}', members)
-        yield from (entry.name for entry in ranked[:WITNESSES_PER_ZONE])
+        yield from (entry.name for entry in ranked[:CONTACTS_PER_ZONE])
--- a/src/sedgeshunt/membership/zone_feed.py
+++ b/src/sedgeshunt/membership/zone_feed.py
@@ -1,4 +1,4 @@
-"""Follow the store by a peer of the own zone that watches it."""
+"""Follow the store's changes through a peer of the own zone."""
 
 from collections.abc import AsyncGenerator
 
@@ -13,14 +13,14 @@
 from sedgeshunt.registry.entries import InstanceEntry
 from sedgeshunt.registry.feeds import ChangeFeed
 
-# A peer that stopped, or was behind, is not asked again for so long: it mostly
-# has lost the store, whose usual outage takes five seconds, and a question in
-# vain costs a watch of the store that is armed anew.
-DISTRUST_FOR = Seconds(2)
+# Time before a peer whose feed ended or lagged is asked again: it has most
+# likely lost the store, whose usual outage takes five seconds, and each failed
+# attempt makes this instance set up a watch of the store again.
+DISTRUST_TIME = Seconds(2)
 
 
 class ZoneFeed(ChangeFeed, StoreWitness):
-    """Choose the peer that hands changes on, and tell while one does."""
+    """Choose the peer to follow, and know whether its feed is open."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         topology: Topology,
         neighbours: Neighbours,
     ) -> None:
-        """Follow nobody yet."""
+        """Start without a peer to follow."""
         self._own = own
         self._topology = topology
         self._neighbours = neighbours
@@ -37,22 +37,22 @@
         self._distrusted: dict[ProxyId, Monotonic] = {}
 
     def is_expected(self) -> bool:
-        """Tell whether others watch the store for this instance."""
+        """Return whether peers watch the store for this instance."""
         return not self._must_watch()
 
     def is_offered(self) -> bool:
-        """Tell whether a watcher of the zone would hand changes on."""
+        """Return whether a watcher of the zone can serve a feed."""
         return self._choose() is not None
 
     async def open(self, after: Revision) -> AsyncGenerator[StoreChanges, None]:
-        """Yield what changes after a revision, until the peer stops."""
+        """Yield the changes after a revision, until the peer's feed ends."""
         link = self._choose()
         if link is None:
             return
         self._source = link
         try:
             async for changes in link.follow_changes(after):
-                # Only a peer that watches the store itself sends any.
+                # Only a peer that watches the store itself sends changes.
                 self._is_open = True
                 yield changes
                 if self._must_watch():
@@ -61,22 +61,22 @@
             self._is_open = False
 
     def distrust(self) -> None:
-        """Ask the present peer no more for a while."""
+        """Stop using the current peer for a while."""
         if self._source is not None:
             name = self._source.peer.name
-            self._distrusted[name] = Monotonic(read_clock() + DISTRUST_FOR)
+            self._distrusted[name] = Monotonic(read_clock() + DISTRUST_TIME)
 
     def may_own(self) -> bool:
-        """Tell whether this instance may claim a group, or owns one."""
+        """Return whether this instance is a candidate of any group."""
         return self._topology.is_candidate_of_any()
 
     def hears_store(self) -> bool:
-        """Tell whether a peer that watches the store hands changes on."""
+        """Return whether a peer that watches the store serves an open feed."""
         source = self._source
         return self._is_open and source is not None and source.is_answering()
 
     def is_source(self, peer: ProxyId) -> bool:
-        """Tell whether a peer hands changes on to here."""
+        """Return whether this peer serves the open feed."""
         source = self._source
         return self._is_open and source is not None and source.peer.name == peer
 
@@ -89,7 +89,7 @@
             self._topology.list_watchers(instances),
         )
         able = [link for link in links if link and self._is_able(link)]
-        # All followers of a zone are shared out among its watchers.
+        # Hashing spreads the followers of a zone over its watchers.
         return max(able, key=self._weigh, default=None)
 
     def _must_watch(self) -> bool:
--- a/src/sedgeshunt/membership/zones.py
+++ b/src/sedgeshunt/membership/zones.py
@@ -1,4 +1,4 @@
-"""Notice when a whole availability zone cannot be reached."""
+"""Detect that a whole availability zone is unreachable."""
 
 from collections.abc import Mapping, Sequence
 
@@ -8,35 +8,36 @@
 
 
 class ZoneWatch:
-    """Tell single proxies that are gone from zones that are cut off."""
+    """Distinguish the loss of single proxies from that of a whole zone."""
 
     def __init__(self, own_zone: ZoneId, decisions: DecisionLog) -> None:
-        """Take every zone for reachable at first."""
+        """Start with every zone as reachable."""
         self.cut_zones: frozenset[ZoneId] = frozenset()
         self._suspected: frozenset[ZoneId] = frozenset()
         self._seen: frozenset[ZoneId] = frozenset()
         self._own_zone = own_zone
         self._decisions = decisions
 
-    def look(self, states: Mapping[ZoneId, Sequence[PeerState]]) -> None:
-        """Compare the states of the asked peers in each zone."""
+    def update(self, states: Mapping[ZoneId, Sequence[PeerState]]) -> None:
+        """Evaluate the states of the polled peers in each zone."""
         self._seen |= frozenset(
             zone for zone, found in states.items() if PeerState.ALIVE in found
         )
-        # A zone whose proxies have not started yet is not cut off.
+        # A zone whose proxies have not started yet does not count as lost.
         unreachable = frozenset(
             zone
             for zone, found in states.items()
             if zone in self._seen - {self._own_zone} and _is_cut(found)
         )
-        # One lost answer looks like a cut where one peer stands for a zone.
+        # In a zone with one polled peer, a single lost answer looks like the
+        # loss of the zone, so two evaluations in a row have to agree.
         is_cut = unreachable & self._suspected
         for zone in sorted(is_cut ^ self.cut_zones):
-            self._tell(zone, is_cut=zone in is_cut)
+            self._record(zone, is_cut=zone in is_cut)
         self._suspected = unreachable
         self.cut_zones = is_cut
 
-    def _tell(self, zone: ZoneId, *, is_cut: bool) -> None:
+    def _record(self, zone: ZoneId, *, is_cut: bool) -> None:
         state = 'no proxy answers' if is_cut else 'proxies answer again'
         self._decisions.record(
             Decision(
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -12,8 +12,8 @@
 from sedgeshunt.identifiers import GroupId, Incarnation, ProxyId, ZoneId
 from sedgeshunt.membership.heartbeats import Heartbeats
 from sedgeshunt.membership.readers import (
+    MIN_CONNECTIONS,
     RESERVED_CONNECTIONS,
-    SMALLEST_SHARE,
     ReaderPlan,
     plan_readers,
 )
@@ -87,7 +87,7 @@
         one.zone for one in context.instances if one.name in found.list_names()
     )
     share = _find_share(found)
-    assert share >= SMALLEST_SHARE or max(zones.values()) == 1, found
+    assert share >= MIN_CONNECTIONS or max(zones.values()) == 1, found
 
 
 @then('readers changed in its zone only')
