--- a/tests/features/fleets.feature
+++ b/tests/features/fleets.feature
@@ -72,4 +72,4 @@
     Given 24 proxies in three zones
     When the owner's heartbeats are counted for 5 s
     Then readers sent at least 1.8 a second
-    And proxies that neither read nor may own sent at most 1.2 a second
+    And proxies that neither read replicas nor may own a group sent at most 1.2 a second
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -208,7 +208,8 @@
 
 
 @then(
-    'proxies that neither read nor may own sent at most {most:g} a' + ' second',
+    'proxies that neither read replicas nor may own a group sent at most'
+    + ' {most:g} a second',
 )
 def check_other_heartbeats(context: Any, most: float) -> None:
     rates = _list_rates(context, is_reading=False)
