--- a/src/sedgeshunt/limits/admission.py
+++ b/src/sedgeshunt/limits/admission.py
@@ -1,4 +1,4 @@
-"""Admit to a target what it can answer in time, refuse the rest at once."""
+"""Admit the statements that a target can answer in time; refuse the rest."""
 
 from asyncio import CancelledError, get_running_loop
 from random import uniform
@@ -21,19 +21,19 @@
 from sedgeshunt.requests.outcome import Cause, NotRun
 
 MAX_QUEUED = 1000
-# With less time left than this share of the usual latency, a statement that
-# has waited for its turn is not sent any more.
-HOPELESS_SHARE = 0.5
+# Least time left, as a share of the average latency, with which a statement
+# is still sent after it has waited in the queue.
+MIN_TIME_LEFT_SHARE = 0.5
 # Share of the time left that a queued statement may spend on waiting. With
-# more, benchmarks/overload.py shows answers that come too late; so it does
-# when the newest waiter goes first, and then refusals come late as well.
-SHARE_FOR_QUEUE = 0.5
-FIRST_GUESS = Seconds(0.02)
-WEIGHT = 0.1
-# With no answer for this many times the usual interval, the target stalls.
+# more, benchmarks/overload.py shows answers that come too late; so does serving
+# the newest waiter first, and then refusals come late as well.
+QUEUE_TIME_SHARE = 0.5
+INITIAL_LATENCY = Seconds(0.02)
+LATENCY_WEIGHT = 0.1
+# A target counts as stalled after this many average intervals without answers.
 STALL_FACTOR = 4
-SHORTEST_RETRY = Seconds(0.02)
-LONGEST_RETRY = Seconds(2)
+MIN_RETRY_DELAY = Seconds(0.02)
+MAX_RETRY_DELAY = Seconds(2)
 
 
 _Turn = Result[Permit, NotRun]
@@ -54,8 +54,9 @@
     ) -> None:
         """Run at most `share` at once; `seats` proxies share the slots.
 
-        Without a `limit`, the proxy finds its own part of the slots. Where a
-        silent target is soon replaced, a stall says nothing of the wait.
+        Without a `limit`, the concurrency limit adapts to the latencies.
+        Clear `counts_stalls` where a silent target is soon replaced, so that
+        a stall does not predict the wait.
         """
         self.target = target
         self._counts_stalls = counts_stalls
@@ -65,27 +66,27 @@
             max(1, slots // max(1, seats)),
         )
         self._queue: FairQueue[_Turn] = FairQueue()
-        self._latency = MovingAverage(WEIGHT)
+        self._latency = MovingAverage(LATENCY_WEIGHT)
         self._released_at = Monotonic(0)
         self._is_closed = False
 
     @property
     def queued(self) -> int:
-        """Count the statements that wait for their turn."""
+        """Return the number of queued statements."""
         return len(self._queue)
 
     @property
     def latency(self) -> Seconds:
-        """Return the usual time to an answer, a guess before the first."""
+        """Return the average latency, an estimate before the first answer."""
         return Seconds(self._get_latency())
 
     def resize(self, share: int) -> None:
         """Change the share of the target's connections."""
         self.limit.resize(share)
-        self._grant()
+        self._admit_waiters()
 
     def expected_wait(self, now: Monotonic) -> Seconds:
-        """Return how long a new statement would wait for its turn."""
+        """Return how long a new statement would wait in the queue."""
         if self.has_room():
             return Seconds(0)
         return self._estimate_wait(self.queued, now)
@@ -100,10 +101,11 @@
         is_begun: bool = False,
         due: Monotonic | None = None,
     ) -> Result[Permit, NotRun]:
-        """Return a permit, or refuse as soon as none can come in time.
+        """Return a permit, or refuse as soon as none can be granted in time.
 
-        What belongs to work that has begun is not refused for its wait. An
-        answer is in time if it is there at the deadline, or when it is `due`.
+        A statement of a transaction that `is_begun` is not refused for the
+        expected wait. An answer is in time if it arrives by the time that it
+        is `due`, which is the deadline if not given.
         """
         if self._is_closed:
             return Err(self._refuse_closed())
@@ -125,23 +127,23 @@
         )
 
     def close(self) -> None:
-        """Refuse all that wait and come: the target is given up."""
+        """Refuse queued and new statements; the target is not used any more."""
         self._is_closed = True
         while (waiter := self._queue.pop()) is not None:
             if not waiter.turn.done():
                 waiter.turn.set_result(Err(self._refuse_closed()))
 
     def has_room(self) -> bool:
-        """Return whether a statement would be admitted without any wait."""
+        """Return whether a statement would be admitted without waiting."""
         return not self._queue and self.running < self.limit.value
 
     def _start(self, now: Monotonic) -> Permit:
         if not self.running:
             self._released_at = now
         self.running += 1
-        return Permit(self._take_back)
+        return Permit(self._note_release)
 
-    def _take_back(self, latency: Seconds | None, ok: bool) -> None:
+    def _note_release(self, latency: Seconds | None, ok: bool) -> None:
         now = read_clock()
         self.running -= 1
         self._released_at = now
@@ -149,24 +151,24 @@
             if ok:
                 self._latency.add(latency)
             self.limit.note(latency, ok=ok, now=now)
-        self._grant()
+        self._admit_waiters()
 
     def _estimate_wait(self, ahead: float, now: Monotonic) -> Seconds:
         interval = self._get_latency() / self.limit.value
         if not self._counts_stalls:
             return Seconds((ahead + 1) * interval)
-        # A target that froze answers nothing, so its average stays good.
-        # The time without any answer shows it at once.
+        # A frozen target gives no answers that would raise the average, but
+        # the time without an answer shows it at once.
         stalled = (now - self._released_at) / STALL_FACTOR
         return Seconds((ahead + 1) * max(interval, stalled))
 
     def _get_latency(self) -> float:
-        return self._latency.value if self._latency.samples else FIRST_GUESS
+        return self._latency.value if self._latency.samples else INITIAL_LATENCY
 
     def _is_too_long(self, wait: Seconds, left: float) -> bool:
         if self.queued >= MAX_QUEUED:
             return True
-        return wait > (left - self._get_latency()) * SHARE_FOR_QUEUE
+        return wait > (left - self._get_latency()) * QUEUE_TIME_SHARE
 
     async def _wait_turn(self, waiter: Waiter[_Turn]) -> _Turn:
         self._queue.push(waiter)
@@ -178,16 +180,16 @@
         try:
             return await waiter.turn
         except CancelledError:
-            self._give_up(waiter)
+            self._withdraw(waiter)
             raise
         finally:
             timer.cancel()
 
-    def _give_up(self, waiter: Waiter[_Turn]) -> None:
+    def _withdraw(self, waiter: Waiter[_Turn]) -> None:
         self._queue.remove(waiter)
         turn = waiter.turn
-        # A turn granted in the very moment in which its caller left would
-        # else keep its place for good, and the target lose it.
+        # A permit granted at the moment its caller cancels has to be released
+        # here, or the target would lose the slot for good.
         if turn.done() and not turn.cancelled():
             granted = turn.result()
             if isinstance(granted, Ok):
@@ -199,7 +201,7 @@
             reason = 'no turn came before its deadline'
             waiter.turn.set_result(Err(self._refuse(Cause.DEADLINE, reason)))
 
-    def _grant(self) -> None:
+    def _admit_waiters(self) -> None:
         while self._queue and self.running < self.limit.value:
             waiter = self._queue.pop()
             if waiter is None:
@@ -208,10 +210,10 @@
                 waiter.turn.set_result(self._admit_waiter(waiter))
 
     def _admit_waiter(self, waiter: Waiter[_Turn]) -> _Turn:
-        # Sent with too little time left, its outcome would be unknown and
-        # its work wasted; until now it is surely not run.
+        # A statement sent with too little time left would waste work and end
+        # with an unknown outcome; refused now, it certainly did not run.
         now = read_clock()
-        if waiter.deadline - now < self._get_latency() * HOPELESS_SHARE:
+        if waiter.deadline - now < self._get_latency() * MIN_TIME_LEFT_SHARE:
             reason = 'its turn came too late to be answered in time'
             return Err(self._refuse(Cause.DEADLINE, reason))
         return Ok(self._start(now))
@@ -220,18 +222,18 @@
         return self._refuse(Cause.CONNECTION_LOST, 'it is not used any more')
 
     def _refuse_overload(self, wait: Seconds) -> NotRun:
-        # Refused callers that all came back at once would be refused again.
-        retry = uniform(0.5, 1.5) * max(SHORTEST_RETRY, wait)
+        # Jitter: callers that all retried at once would be refused again.
+        retry = uniform(0.5, 1.5) * max(MIN_RETRY_DELAY, wait)
         return self._refuse(
             Cause.OVERLOAD,
             f'about {wait:.3f} s of work wait already',
-            Seconds(min(LONGEST_RETRY, retry)),
+            Seconds(min(MAX_RETRY_DELAY, retry)),
         )
 
     def _refuse(
         self,
         cause: Cause,
         reason: str,
-        retry: Seconds = SHORTEST_RETRY,
+        retry: Seconds = MIN_RETRY_DELAY,
     ) -> NotRun:
         return NotRun(cause, f'target {self.target}: {reason}', retry)
--- a/src/sedgeshunt/limits/average.py
+++ b/src/sedgeshunt/limits/average.py
@@ -1,8 +1,8 @@
-"""Follow a quantity that changes over time."""
+"""Average a quantity that changes over time."""
 
 
 class MovingAverage:
-    """Average samples, the latest weighing most."""
+    """Compute an exponentially weighted moving average."""
 
     def __init__(self, weight: float) -> None:
         """Give each new sample at least `weight`, the first ones more."""
@@ -13,7 +13,7 @@
         self._weight = weight
 
     def add(self, sample: float) -> None:
-        """Take in one sample."""
+        """Add one sample."""
         self.samples += 1
         weight = max(self._weight, 1 / self.samples)
         distance = sample - self.value
--- a/src/sedgeshunt/limits/concurrency.py
+++ b/src/sedgeshunt/limits/concurrency.py
@@ -1,4 +1,4 @@
-"""Say how many statements a target takes at once."""
+"""Limit how many statements a proxy runs at a target at once."""
 
 from abc import ABC, abstractmethod
 from collections import deque
@@ -6,15 +6,17 @@
 from sedgeshunt.identifiers import Monotonic, Seconds
 
 # Statements between two changes of the limit.
-BATCH = 20
-# Latency above the best one seen that still calls for more, or for fewer.
+BATCH_SIZE = 20
+# Multiples of the best mean latency below which the limit may grow, and above
+# which it shrinks.
 GROW_BELOW = 2
 SHRINK_ABOVE = 4
+# Age up to which a batch counts for the best mean latency.
 BEST_WINDOW = Seconds(30)
 
 
 class Concurrency(ABC):
-    """Bound the statements that one proxy runs at a target at once."""
+    """Limit the statements that one proxy runs at a target at once."""
 
     value: int
 
@@ -32,28 +34,28 @@
 
 
 class FixedConcurrency(Concurrency):
-    """Keep to a number that is known beforehand."""
+    """Limit the statements by a number that is known beforehand."""
 
-    # Where a target tells its slots, latencies need not be asked: those of a
-    # mixed load vary by more than what an overload adds.
+    # A target that reports its number of slots needs no estimate by latencies:
+    # those of a mixed load vary by more than an overload adds.
 
     def __init__(self, value: int) -> None:
         """Run at most `value` at once."""
         self.value = max(1, value)
 
     def resize(self, share: int) -> None:
-        """Keep to a new number."""
+        """Change the limit."""
         self.value = max(1, share)
 
     def note_full(self) -> None:
-        """Learn nothing."""
+        """Do nothing, as the limit does not adapt."""
 
     def note(self, latency: Seconds, *, ok: bool, now: Monotonic) -> None:
-        """Learn nothing."""
+        """Do nothing, as the limit does not adapt."""
 
 
 class AdaptiveConcurrency(Concurrency):
-    """Adapt a limit between 1 and a share by the latencies seen."""
+    """Adapt the limit between 1 and a share to the observed latencies."""
 
     def __init__(self, share: int, start: int) -> None:
         """Start at `start` and never exceed `share`."""
@@ -81,17 +83,17 @@
             self._spent += latency
         else:
             self._failures += 1
-        if self._answers + self._failures >= BATCH:
+        if self._answers + self._failures >= BATCH_SIZE:
             self._adapt(now)
 
     def _adapt(self, now: Monotonic) -> None:
-        self.value = max(1, min(self._share, self.value + self._choose(now)))
+        self.value = max(1, min(self._share, self.value + self._find_step(now)))
         self._spent = 0
         self._answers = 0
         self._failures = 0
         self._was_full = False
 
-    def _choose(self, now: Monotonic) -> int:
+    def _find_step(self, now: Monotonic) -> int:
         if self._failures > self._answers:
             return -1
         mean = self._spent / self._answers
@@ -101,8 +103,8 @@
         return 1 if self._was_full and mean < GROW_BELOW * best else 0
 
     def _find_best(self, mean: float, now: Monotonic) -> float:
-        # One statement's latency says little, as some are quick by nature;
-        # so whole batches are compared.
+        # Latencies differ by kind of statement, so the means of whole batches
+        # are compared.
         self._means.append((now, mean))
         while self._means[0][0] < now - BEST_WINDOW:
             self._means.popleft()
--- a/src/sedgeshunt/limits/fair_queue.py
+++ b/src/sedgeshunt/limits/fair_queue.py
@@ -1,4 +1,4 @@
-"""Queue statements and share turns out fairly to classes and customers."""
+"""Queue statements with fair scheduling between classes and customers."""
 
 from asyncio import Future
 from collections import OrderedDict
@@ -14,14 +14,14 @@
     TrafficClass,
 )
 
-# A class stays known for asking too much this long after a refusal.
-OVERFULL_FOR = Seconds(1)
+# Time after a refusal for which its class counts as overloaded.
+OVERLOAD_TIME = Seconds(1)
 
 Outcome = TypeVar('Outcome')
 
 
 class Waiter(Struct, Generic[Outcome], frozen=True, eq=False):
-    """Hold one statement that waits for its turn."""
+    """Hold one queued statement."""
 
     traffic_class: TrafficClass
     weight: int
@@ -30,23 +30,23 @@
     customer: CustomerId = ANONYMOUS
 
 
-class _Lane(Generic[Outcome]):
-    """Hold one class's waiters; its customers take turns."""
+class _ClassQueue(Generic[Outcome]):
+    """Queue one class's waiters, round robin between its customers."""
 
-    # One customer that asks much, within its limit, would make all others wait
-    # behind its calls; a turn each costs only itself.
+    # In arrival order, one customer with many calls within its limit would
+    # delay all others; round robin delays only that customer's own calls.
 
     def __init__(self) -> None:
         """Start empty."""
         self._size = 0
-        # Those of each customer in the order of their arrival.
+        # The waiters of each customer, in the order of their arrival.
         self._waiting: OrderedDict[
             CustomerId,
             OrderedDict[Waiter[Outcome], None],
         ] = OrderedDict()
-        # Virtual time at which the class's last turn is paid for.
-        self.paid_until: float = 0
-        self.overfull_until = Monotonic(0)
+        # Virtual finish time of the class's last turn.
+        self.finish_time: float = 0
+        self.overloaded_until = Monotonic(0)
 
     def __len__(self) -> int:
         """Count the waiters."""
@@ -59,7 +59,7 @@
         self._size += 1
 
     def pop(self) -> Waiter[Outcome]:
-        """Remove the first waiter of the customer whose turn it is."""
+        """Remove and return the first waiter of the next customer."""
         customer, waiters = self._waiting.popitem(last=False)
         waiter, _ = waiters.popitem(last=False)
         if waiters:
@@ -68,7 +68,7 @@
         return waiter
 
     def remove(self, waiter: Waiter[Outcome]) -> bool:
-        """Take out a waiter; tell whether it was there."""
+        """Remove a waiter; return whether it was queued."""
         own = self._waiting.get(waiter.customer)
         if own is None or waiter not in own:
             return False
@@ -79,7 +79,7 @@
         return True
 
     def count_before(self, customer: CustomerId) -> int:
-        """Return how many turns of the class come before a new arrival's."""
+        """Return how many waiters of the class go before a new arrival."""
         own = len(self._waiting.get(customer, ()))
         return own + sum(
             min(len(waiters), own + 1)
@@ -90,10 +90,9 @@
     def count_turns(self, virtual_span: float, now: Monotonic) -> float:
         """Return how many turns the class takes in a virtual span."""
         turns = virtual_span * self._find_weight()
-        # A class that was just refused some will be back before its turns
-        # are over; counting only those that wait now would promise others a
-        # turn that comes too late.
-        if now < self.overfull_until:
+        # Refused callers of an overloaded class soon retry. Counting only the
+        # current waiters would underestimate the wait of the other classes.
+        if now < self.overloaded_until:
             return turns
         return min(self._size, turns)
 
@@ -110,7 +109,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._lanes: dict[TrafficClass, _Lane[Outcome]] = {}
+        self._classes: dict[TrafficClass, _ClassQueue[Outcome]] = {}
         self._virtual_time: float = 0
         self._size = 0
 
@@ -120,28 +119,28 @@
 
     def push(self, waiter: Waiter[Outcome]) -> None:
         """Add a waiter behind those of its class."""
-        lane = self._lanes.setdefault(waiter.traffic_class, _Lane())
-        lane.push(waiter)
+        queue = self._classes.setdefault(waiter.traffic_class, _ClassQueue())
+        queue.push(waiter)
         self._size += 1
 
     def pop(self) -> Waiter[Outcome] | None:
-        """Remove the waiter whose turn it is."""
-        lane = self._choose_lane()
-        if lane is None:
+        """Remove and return the next waiter; None if there is none."""
+        queue = self._choose_class()
+        if queue is None:
             return None
-        waiter = lane.pop()
+        waiter = queue.pop()
         self._size -= 1
-        # A class that was idle starts at the present: it can't claim later
-        # all the turns that it did not need, and starve the others.
-        start = max(self._virtual_time, lane.paid_until)
+        # A class that was idle starts at the current virtual time. Otherwise it
+        # could make up for all the unused turns and starve the others.
+        start = max(self._virtual_time, queue.finish_time)
         self._virtual_time = start
-        lane.paid_until = start + 1 / waiter.weight
+        queue.finish_time = start + 1 / waiter.weight
         return waiter
 
     def remove(self, waiter: Waiter[Outcome]) -> None:
-        """Take out a waiter that gave up; removing it twice does no harm."""
-        lane = self._lanes.get(waiter.traffic_class)
-        if lane is not None and lane.remove(waiter):
+        """Remove a waiter; removing it twice is harmless."""
+        queue = self._classes.get(waiter.traffic_class)
+        if queue is not None and queue.remove(waiter):
             self._size -= 1
 
     def note_refused(
@@ -149,10 +148,10 @@
         traffic_class: TrafficClass,
         now: Monotonic,
     ) -> None:
-        """Take in that the class asks for more than its share."""
-        lane = self._lanes.get(traffic_class)
-        if lane is not None:
-            lane.overfull_until = Monotonic(now + OVERFULL_FOR)
+        """Record that a statement of the class was refused for overload."""
+        queue = self._classes.get(traffic_class)
+        if queue is not None:
+            queue.overloaded_until = Monotonic(now + OVERLOAD_TIME)
 
     def count_ahead(
         self,
@@ -161,20 +160,20 @@
         now: Monotonic,
         customer: CustomerId = ANONYMOUS,
     ) -> float:
-        """Return how many turns come before that of a new arrival."""
-        own = self._lanes.get(traffic_class)
+        """Return how many waiters go before a new arrival."""
+        own = self._classes.get(traffic_class)
         before = 0 if own is None else own.count_before(customer)
         ahead: float = before
-        for name, lane in self._lanes.items():
-            if name != traffic_class and lane:
-                ahead += lane.count_turns((before + 1) / weight, now)
+        for name, queue in self._classes.items():
+            if name != traffic_class and queue:
+                ahead += queue.count_turns((before + 1) / weight, now)
         return ahead
 
-    def _choose_lane(self) -> _Lane[Outcome] | None:
+    def _choose_class(self) -> _ClassQueue[Outcome] | None:
         chosen = None
-        for lane in self._lanes.values():
-            if not lane:
+        for queue in self._classes.values():
+            if not queue:
                 continue
-            if chosen is None or lane.paid_until < chosen.paid_until:
-                chosen = lane
+            if chosen is None or queue.finish_time < chosen.finish_time:
+                chosen = queue
         return chosen
--- a/src/sedgeshunt/limits/holding.py
+++ b/src/sedgeshunt/limits/holding.py
@@ -3,30 +3,30 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.identifiers import Monotonic, Seconds
 
-# With less time left than this after the expected end of a wait, the answer
-# would come too late: a statement and its way take some tens of milliseconds.
-SHORTEST_USE = Seconds(0.05)
-# A refused caller is told to come back no sooner, and no later, than this.
-SHORTEST_RETRY = Seconds(0.05)
-LONGEST_RETRY = Seconds(1)
+# Least time that has to be left after the expected wait: a statement and its
+# round trip take some tens of milliseconds.
+MIN_TIME_LEFT = Seconds(0.05)
+# Bounds of the retry delay that a refused caller gets.
+MIN_RETRY_DELAY = Seconds(0.05)
+MAX_RETRY_DELAY = Seconds(1)
 
 
 def is_worth_holding(
     expected_at: Monotonic | None,
     deadline: Monotonic,
 ) -> bool:
-    """Return whether a wait that is to end at `expected_at` leaves time.
+    """Return whether a wait until `expected_at` leaves time to run.
 
-    None means that nobody knows when, so that the wait may be for nothing.
+    None means that the end is unknown, so the wait may be in vain.
     """
     if expected_at is None:
         return False
-    return max(expected_at, read_clock()) + SHORTEST_USE < deadline
+    return max(expected_at, read_clock()) + MIN_TIME_LEFT < deadline
 
 
 def find_retry_delay(expected_at: Monotonic | None) -> Seconds:
-    """Return when a refused caller may come back."""
+    """Return the delay after which a refused caller may retry."""
     if expected_at is None:
-        return LONGEST_RETRY
+        return MAX_RETRY_DELAY
     ahead = expected_at - read_clock()
-    return Seconds(min(LONGEST_RETRY, max(SHORTEST_RETRY, ahead)))
+    return Seconds(min(MAX_RETRY_DELAY, max(MIN_RETRY_DELAY, ahead)))
--- a/src/sedgeshunt/limits/permit.py
+++ b/src/sedgeshunt/limits/permit.py
@@ -1,4 +1,4 @@
-"""Hold one place among the statements that a target runs at once."""
+"""Reserve and release slots for the statements that a target runs."""
 
 from asyncio import CancelledError
 from collections.abc import Callable, Iterator
@@ -7,12 +7,12 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.identifiers import Seconds
 
-# Takes the latency, None if nothing was learnt, and whether it was answered.
-GiveBack = Callable[[Seconds | None, bool], None]
+# Called with the latency, None if not measured, and whether it was answered.
+ReleaseCallback = Callable[[Seconds | None, bool], None]
 
 
 class Measurement:
-    """Say whether the target answered the measured statement."""
+    """Measure one statement's latency and whether it was answered."""
 
     def __init__(self) -> None:
         """Start as not answered."""
@@ -27,34 +27,34 @@
 class Permit:
     """Entitle its holder to run one statement on the target."""
 
-    def __init__(self, give_back: GiveBack) -> None:
-        """Hold one place, which `give_back` returns."""
-        self._give_back = give_back
+    def __init__(self, on_release: ReleaseCallback) -> None:
+        """Hold one slot until `on_release` is called."""
+        self._on_release = on_release
         self._released = False
 
     def release(self, latency: Seconds, *, ok: bool) -> None:
-        """Give the place back; releasing twice does no harm."""
-        self._return(latency, ok=ok)
+        """Release the slot; releasing twice is harmless."""
+        self._release(latency, ok=ok)
 
     def cancel(self) -> None:
-        """Give the place back with nothing learnt of the target."""
-        self._return(None, ok=True)
+        """Release the slot without a measurement."""
+        self._release(None, ok=True)
 
     @contextmanager
     def measure(self) -> Iterator[Measurement]:
-        """Release the permit with the time spent inside."""
+        """Measure the time inside, then release the permit with it."""
         measured = Measurement()
         try:
             yield measured
         except CancelledError:
-            # A caller that left says nothing of the target.
+            # A cancelled call is no measurement of the target.
             self.cancel()
             raise
         finally:
             self.release(measured.read_elapsed(), ok=measured.ok)
 
-    def _return(self, latency: Seconds | None, *, ok: bool) -> None:
+    def _release(self, latency: Seconds | None, *, ok: bool) -> None:
         if self._released:
             return
         self._released = True
-        self._give_back(latency, ok)
+        self._on_release(latency, ok)
--- a/src/sedgeshunt/limits/standing.py
+++ b/src/sedgeshunt/limits/standing.py
@@ -1,39 +1,39 @@
-"""Tell a queue that stands from one that a burst has left."""
+"""Distinguish a standing queue from one that a burst has left."""
 
 from msgspec import Struct
 
 from sedgeshunt.identifiers import Monotonic, Seconds
 
-# A burst is worth waiting through: late answers are better than none, and it is
-# over soon. A queue in which nobody was in time for so long is none that a
-# burst has left; and one is over once nobody was late or refused for so long.
-STANDS_AFTER = Seconds(0.5)
-# Share of the time to the objective that may go by in queues; the rest is for
-# the work itself.
-SHARE_FOR_QUEUE = 0.5
+# Waiting out a burst is worth it: it ends soon, and late answers are better
+# than none. A queue counts as standing if no statement was in time for this
+# long, and as over once none was late or refused for this long.
+STANDING_TIME = Seconds(0.5)
+# Share of the time to the objective that statements may spend in queues; the
+# rest is for the work itself.
+QUEUE_TIME_SHARE = 0.5
 
 
-class _Pressure(Struct):
-    """Hold what those of one priority went through."""
+class _Lateness(Struct):
+    """Hold how late the statements of one priority were admitted."""
 
-    # When one was last let in too late, or refused.
-    pressed_at: Monotonic
-    # Since when nobody was let in soon enough.
+    # When a statement was last admitted too late, or refused.
+    late_at: Monotonic
+    # Since when no statement was admitted soon enough.
     late_since: Monotonic
     is_standing: bool = False
 
 
 class StandingQueue:
-    """Follow whether those who were let in could still be in time."""
+    """Track whether admitted statements could still meet their objective."""
 
-    # Under an overload that lasts, a queue as long as callers' deadlines makes
-    # every answer late and no answer more: its length is all that callers get
-    # for their wait. Refused at once, as many are served, and in time. Source:
-    # Nichols and Jacobson, Controlling Queue Delay, ACM Queue 2012.
+    # Under a lasting overload, a queue as long as callers' deadlines makes
+    # every answer late without more answers. With refusals instead, as many
+    # statements are answered, and in time. Source: Nichols and Jacobson,
+    # Controlling Queue Delay, ACM Queue 2012.
 
     def __init__(self) -> None:
-        """Start with no queue."""
-        self._known: dict[int, _Pressure] = {}
+        """Start without a standing queue."""
+        self._known: dict[int, _Lateness] = {}
 
     def note_wait(
         self,
@@ -42,23 +42,23 @@
         aim_left: Seconds,
         now: Monotonic,
     ) -> None:
-        """Take in how long one waited who had `aim_left` at the beginning."""
+        """Record the wait of a statement that had `aim_left` before it."""
         known = self._find(priority, now)
-        is_late = waited > aim_left * SHARE_FOR_QUEUE
+        is_late = waited > aim_left * QUEUE_TIME_SHARE
         if not is_late and (known is None or not known.is_standing):
             self._known.pop(priority, None)
         elif is_late and known is None:
-            self._known[priority] = _Pressure(now, now)
+            self._known[priority] = _Lateness(now, now)
         elif is_late and known is not None:
-            known.pressed_at = now
-            if now - known.late_since >= STANDS_AFTER:
+            known.late_at = now
+            if now - known.late_since >= STANDING_TIME:
                 known.is_standing = True
 
     def note_refusal(self, priority: int, now: Monotonic) -> None:
-        """Take in that one was refused for the length of the queue."""
+        """Record a refusal because of the length of the queue."""
         known = self._find(priority, now)
         if known is not None:
-            known.pressed_at = now
+            known.late_at = now
 
     def find_due_time(
         self,
@@ -67,16 +67,16 @@
         deadline: Monotonic,
         now: Monotonic,
     ) -> Monotonic:
-        """Return the moment by which an answer has to be expected."""
+        """Return the time by which an answer is due."""
         known = self._find(priority, now)
         if known is None or not known.is_standing:
             return deadline
-        # Who has missed the objective already gives way to those who have not.
+        # A statement that already missed its objective gives way to the others.
         return Monotonic(min(deadline, now + max(Seconds(0), aim_left)))
 
-    def _find(self, priority: int, now: Monotonic) -> _Pressure | None:
+    def _find(self, priority: int, now: Monotonic) -> _Lateness | None:
         known = self._known.get(priority)
-        if known is not None and now - known.pressed_at > STANDS_AFTER:
+        if known is not None and now - known.late_at > STANDING_TIME:
             self._known.pop(priority)
             return None
         return known
