--- a/tests/features/replacement.feature
+++ b/tests/features/replacement.feature
@@ -1,11 +1,11 @@
-Feature: Replacing a primary by an order
-  The owner of a group has the platform promote another target when the primary
-  is lost or leaves.
+Feature: Replacing a primary by a promotion
+  The owner of a group orders the platform to promote a replica when the primary
+  is lost or leaving.
 
   Scenario: A primary crashes
-    Writes stop for a moment. The owner's connections break, a probe finds
-    nobody, the furthest replica is promoted and serves. All that was
-    acknowledged and had reached a replica is there.
+    The owner's connections break and a probe gets no answer. The replica with
+    the longest log is promoted. Writes stop for a moment, and every
+    acknowledged write that had reached a replica is kept.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the primary crashes
@@ -15,9 +15,9 @@
     And every acknowledged write is on the primary
     And no write ran twice
 
-  Scenario: A primary falls silent
-    Nothing is reset: statements just get no answer any more. The stall is
-    noticed while work is under way, and the probe gets no answer either.
+  Scenario: A primary stops answering
+    Connections stay open, but statements get no answer. The owner detects the
+    stall while statements are running, and the probe gets no answer either.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the primary freezes
@@ -26,35 +26,36 @@
     And no write was done for 0.4 to 1.5 s at most
     And no write ran twice
 
-  Scenario: The answer of a primary that was replaced meanwhile
-    A write is under way when its primary falls silent and is replaced. Then the
-    old one goes on, commits it and says so. What was committed there is lost, so
-    the caller must not be told that it is done.
+  Scenario: A replaced primary answers late
+    A write is running when the primary freezes and is replaced. The old primary
+    resumes, commits the write and acknowledges it. The commit is lost, so the
+    caller must not receive the acknowledgement.
     Given proxies "north-1, east-1, west-1"
     And a promotion takes 0.05 s
     When a caller of "settle" at "west-1" writes as the primary freezes for 0.7 s
     Then "db-east" does not lead
     And "db-east" has committed the write
-    And the caller is told that its end is in doubt
+    And the caller is told that the outcome is unknown
 
-  Scenario: A primary is started again without its log
-    Its process ends and is there again within 30 ms, under its id and address,
-    leading in its old term, as it says; its log is empty. What it had
-    acknowledged is on the replicas, so one of them must lead next; nobody reads
-    at the empty one.
+  Scenario: A primary restarts without its log
+    The process restarts within 30 ms under the same id and address and reports
+    itself as primary in its old term, but its log is empty. The replicas hold
+    the acknowledged writes, so one of them must be promoted, and nothing may be
+    read from the empty target.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
-    When the primary is reborn with an empty log
+    When the primary restarts with an empty log
     And 3 s go by
     Then "db-east" does not lead
     And every acknowledged write is on the primary
     And no write ran twice
 
-  Scenario: A primary that hesitates under load is not replaced
-    It answers nothing for a moment, then says that it leads, while a replica
-    that is asked at the same time does not answer at all. Until that is certain
-    callers go on writing, and the log outgrows what the primary said. It has
-    lost nothing, and a promotion would lose what no replica has received.
+  Scenario: A primary that stalls briefly under load is not replaced
+    The primary stalls, then reports itself as primary, while a replica queried
+    at the same time does not answer. Until that query times out, writes go on,
+    so the log grows beyond the status that the primary reported. This must not
+    be taken for a lost log: a promotion would lose writes that no replica has
+    received.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When "db-north" freezes
@@ -66,21 +67,21 @@
     And every acknowledged write is on the primary
     And no promotion was ordered
 
-  Scenario: The reborn primary's owner is lost too
-    All that the next owner has is the note of who led, in which life.
+  Scenario: A restarted primary's owner is lost too
+    The next owner has only the record of the primary and its incarnation.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When every proxy is killed
-    And the primary is reborn with an empty log
+    And the primary restarts with an empty log
     And every proxy starts again
     And 5 s go by
     Then "db-east" does not lead
     And every acknowledged write is on the primary
 
-  Scenario: A superseded primary says that it leads when the next one is lost
-    The primary falls silent and is replaced. It comes back, and says that it
-    leads until it learns better; in this moment its successor is lost. What was
-    written since is on the third database, which must lead next.
+  Scenario: A superseded primary returns as its successor is lost
+    The primary freezes and is replaced. It resumes and reports itself as
+    primary until it learns of the newer term; at this moment its successor
+    crashes. Later writes are on the third database, which must be promoted.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the primary freezes
@@ -91,21 +92,22 @@
     And the terms of acknowledged writes never go down
     And a write was acknowledged in term 3
 
-  Scenario: Reads at a primary that is lost are asked again at the next
-    Many callers read when the primary falls silent, more than have a second
-    attempt to spare. None of them waits for what is gone: once it is given up,
-    all are asked again at its successor, or told at once that there is none
-    in time; those in its queue too.
+  Scenario: Reads at a lost primary are retried at its successor
+    Many callers read when the primary freezes, more than the retry budget
+    allows to hedge. Once the primary is given up, all reads, also queued ones,
+    are retried at its successor, or refused at once if none is expected in
+    time.
     Given proxies "north-1, east-1, west-1"
     When 40 callers of "settle" at "west-1" read as the primary freezes
     Then each read ended within 0.6 s, and none was refused for "overload"
 
-  Scenario: A primary that leaves is replaced before its end
-    The primary says that it leaves. Its successor has everything before it
-    leads, nothing is refused, and nothing reaches the old one any more.
+  Scenario: A primary that is leaving is replaced before it stops
+    The primary announces that it is leaving. Its successor has the whole log
+    before it is promoted, no write is refused, and the old primary gets no more
+    statements.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
-    When the primary says that it leaves
+    When the primary announces that it is leaving
     And 4 s go by
     Then "db-east" does not lead
     And no write was done for 0.3 to 0.6 s at most
@@ -113,9 +115,9 @@
     And every acknowledged write is on the primary
     And nothing ran on "db-east" in the last second
 
-  Scenario: The owner loses its way to the primary, a peer has one
-    The primary is well and only the owner can't reach it. The group is handed
-    to a peer that can: no promotion, no loss.
+  Scenario: Only the owner loses its connection to the primary
+    The primary works but the owner cannot reach it. The group is handed over to
+    a peer that can, without a promotion or a loss.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When "east-1" is cut off from "db-east"
@@ -125,9 +127,9 @@
     And no write was done for 0.1 to 1 s at most
     And every acknowledged write is on the primary
 
-  Scenario: The owner can't reach the store when its primary crashes
-    A promotion has to be noted in the store, which answers the owner no more. It
-    gives the group up by word to a peer that the store answers, which promotes.
+  Scenario: The owner cannot reach the store when its primary crashes
+    A promotion must be recorded in the store, which the owner cannot reach. The
+    owner releases the group by a message to a peer that can, which promotes.
     Given proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 20 ms
     When the store is cut off from "east-1"
@@ -139,11 +141,11 @@
     And no write was done for 0.3 to 1.3 s at most
     And no two proxies owned the group at once
 
-  Scenario: An owner dies after its order, before it takes effect
-    The primary is silent for a moment, so its owner orders another one; then the
-    owner dies and the primary goes on. The order takes effect late. The next
-    owner finds the intent in the store and must not use the old primary: what
-    is written there is lost when the order takes effect.
+  Scenario: An owner crashes after its order, before it takes effect
+    The primary freezes, its owner orders a promotion and crashes, and the
+    primary resumes. The order takes effect late. The next owner finds the intent
+    in the store and must not use the old primary: writes there are lost when the
+    order takes effect.
     Given proxies "north-1, east-1, west-1"
     And a promotion takes 2.5 s
     And a caller of "settle" at "west-1" writes every 20 ms
@@ -155,9 +157,10 @@
     And every acknowledged write is on the primary
     And no write ran twice
 
-  Scenario: Where a replica acknowledges each write, one that lacks it is not promoted
-    Each acknowledged write is on one replica at least. The one that has it is
-    out of reach when the primary dies; promoting the other would lose it.
+  Scenario: With synchronous replication, a replica that lacks a write is not promoted
+    Each acknowledged write is on at least one replica. The replica that has it
+    is unreachable when the primary crashes; promoting the other one would lose
+    the write.
     Given groups with 1 synchronous replica
     And proxies "north-1, east-1, west-1"
     And "db-north" receives nothing
@@ -172,10 +175,11 @@
     And 2 s go by
     Then "db-west" leads
 
-  Scenario: The replica that alone has a write is not listed any more
-    A replica that can't reach the store loses its entry, while the primary goes
-    on acknowledging by it. With both gone, the replica that is left looks like
-    all there are; promoting it would lose what was acknowledged.
+  Scenario: The only replica with a write is no longer listed
+    A replica that cannot reach the store loses its entry there, while the
+    primary still counts its acknowledgements. When both are lost, the remaining
+    replica looks like the whole group; promoting it would lose acknowledged
+    writes.
     Given groups with 1 synchronous replica
     And proxies "north-1, east-1, west-1"
     And "db-north" receives nothing
@@ -183,7 +187,7 @@
     Then it is done
     Given a caller of "settle" at "west-1" writes every 20 ms
     When "db-west" freezes
-    And "db-west" is not listed any more
+    And "db-west" is no longer listed
     And the primary crashes
     And 5 s go by
     Then no promotion was ordered
@@ -192,15 +196,14 @@
     And 2 s go by
     Then "db-west" leads
 
-  Scenario: A replica that is gone for good is forgotten
-    A group has one replica less for good. While the primary leads and another
-    replica has all of its log, the one that is gone holds nothing alone, and no
-    later replacement may wait for it.
+  Scenario: A permanently lost replica does not block promotions
+    While another replica has the primary's whole log, a removed replica holds
+    no write that others lack. Later promotions must not wait for it.
     Given groups with 1 synchronous replica
     And proxies "north-1, east-1, west-1"
     And a caller of "settle" at "west-1" writes every 500 ms
     When "db-west" freezes
-    And "db-west" is not listed any more
+    And "db-west" is no longer listed
     And 40 s go by
     And "east-1" is killed
     And the primary crashes
--- a/tests/features/steps/load_and_faults_steps.py
+++ b/tests/features/steps/load_and_faults_steps.py
@@ -1,4 +1,4 @@
-"""Play loads and faults, and check what callers get."""
+"""Apply loads and faults and check what callers receive."""
 
 from asyncio import sleep
 from collections import Counter
@@ -17,20 +17,20 @@
 MILLISECONDS = 1000
 PERCENT = 100
 STATEMENTS = 5
-# A caller that was refused comes back after so long, in seconds.
+# Seconds after which a refused caller retries.
 PAUSE = 0.05
 
 
-class Rush:
-    """Keep callers busy with transactions until it is over."""
+class TransactionLoad:
+    """Run callers with transactions until the load is over."""
 
     def __init__(self, bench: NodeBench, database: str, rest: float) -> None:
-        """Rest so long in each step."""
+        """Pause for `rest` seconds after each statement."""
         self.is_over = False
         self._bench = bench
         self._database = database
         self._rest = rest
-        # Statements that were refused, by their place in the transaction.
+        # Refused statements by their position in the transaction.
         self.refused: Counter[int] = Counter()
 
     async def run(self, number: int) -> None:
@@ -56,11 +56,11 @@
     '{count:d} callers of "{database}" rest {rest:g} s in each of their '
     + "transactions' steps",
 )
-def rush(context: Any, count: int, database: str, rest: float) -> None:
+def start_load(context: Any, count: int, database: str, rest: float) -> None:
     bench: NodeBench = context.nodes
-    context.rush = Rush(bench, database, rest)
+    context.load = TransactionLoad(bench, database, rest)
     for number in range(count):
-        bench.time.watch(context.rush.run(number))
+        bench.time.watch(context.load.run(number))
     bench.wait(1)
 
 
@@ -72,14 +72,14 @@
 
 @then('transactions were refused before their first statement only')
 def check_refused(context: Any) -> None:
-    refused = context.rush.refused
+    refused = context.load.refused
     assert refused[0], refused
     assert sum(refused.values()) == refused[0], refused
 
 
-@when('the rush is over')
-def end_rush(context: Any) -> None:
-    context.rush.is_over = True
+@when('the load ends')
+def end_load(context: Any) -> None:
+    context.load.is_over = True
 
 
 @when('{count:d} others write every {pause:g} s for {seconds:g} s')
@@ -135,7 +135,7 @@
 
 
 @then(
-    'who was refused in the last {seconds:g} s was refused within {limit:d} ms',
+    'all refusals in the last {seconds:g} s took {limit:d} ms at most',
 )
 def check_refusals(context: Any, seconds: float, limit: int) -> None:
     refused = [one for one in _list_last(context, seconds) if not one.is_done]
@@ -204,7 +204,7 @@
         session = bench.open(node, database)
         reading = context.readers.read_on(session, until, pause)
         bench.time.watch(reading)
-        # They come one after the other.
+        # Spreads the readers evenly over one pause.
         bench.wait(pause / count)
 
 
@@ -213,8 +213,8 @@
     context.nodes.group.find_primary().connections = CONNECTION_LIMIT
 
 
-@when('the others let go')
-def let_go(context: Any) -> None:
+@when('the others close their connections')
+def free_connections(context: Any) -> None:
     context.nodes.group.find_primary().connections = 1
 
 
@@ -243,7 +243,7 @@
             bench.network.cut(name, other)
 
 
-@given('a proxy that the balancer asks')
+@given('a proxy that the balancer checks')
 def open_rotation(context: Any) -> None:
     open_bench(context)
     context.rotation = Rotation()
@@ -259,12 +259,12 @@
     context.nodes.run(tell())
 
 
-@then('callers still come here')
+@then('the proxy counts as in rotation')
 def check_in_rotation(context: Any) -> None:
     assert not _is_left_out(context)
 
 
-@then('callers are led elsewhere')
+@then('the proxy counts as out of rotation')
 def check_left_out(context: Any) -> None:
     assert _is_left_out(context)
 
--- a/tests/features/steps/replacement_steps.py
+++ b/tests/features/steps/replacement_steps.py
@@ -1,4 +1,4 @@
-"""Check how a primary is replaced by an order."""
+"""Check the replacement of a primary by a promotion order."""
 
 from asyncio import create_task, gather, sleep
 from collections import Counter
@@ -94,7 +94,7 @@
     assert context.nodes.group.targets[name].read('turn') == '1'
 
 
-@then('the caller is told that its end is in doubt')
+@then('the caller is told that the outcome is unknown')
 def check_doubt(context: Any) -> None:
     assert isinstance(context.told.refusal, Unknown)
 
@@ -124,12 +124,12 @@
     context.nodes.time.act(context.nodes.group.targets[name].thawed.set)
 
 
-@when('the primary is reborn with an empty log')
-def rebear_primary(context: Any) -> None:
+@when('the primary restarts with an empty log')
+def restart_primary(context: Any) -> None:
     primary = context.nodes.group.find_primary()
     primary.is_down = True
     context.nodes.wait(0.03)
-    primary.be_reborn()
+    primary.restart_empty()
     primary.is_down = False
 
 
@@ -171,7 +171,7 @@
     ]
 
 
-@when('"{name}" is not listed any more')
+@when('"{name}" is no longer listed')
 def drop_entry(context: Any, name: str) -> None:
     context.nodes.group.targets[name].is_listed = False
     context.nodes.wait(0.2)
@@ -182,7 +182,7 @@
     context.nodes.group.targets[name].is_listed = True
 
 
-@when('the primary says that it leaves')
+@when('the primary announces that it is leaving')
 def drain_primary(context: Any) -> None:
     context.nodes.group.find_primary().is_leaving = True
 
--- a/tests/standins/statement_group.py
+++ b/tests/standins/statement_group.py
@@ -113,7 +113,7 @@
                     return value
         return ''
 
-    def be_reborn(self) -> None:
+    def restart_empty(self) -> None:
         """Start again with nothing of before, in the same role and term."""
         self.life = TargetLife(self.life + 1)
         self.log = [FIRST_COMMIT]
