--- a/src/sedgeshunt/execution/runner.py
+++ b/src/sedgeshunt/execution/runner.py
@@ -33,7 +33,7 @@
 ) -> Result[OpenTransaction, Refusal]:
     """Open a call's transaction at a target."""
     if call.transaction is None:
-        raise ValueError('a call outside a transaction begins none')
+        raise ValueError('cannot begin a transaction for a call without its id')
     lent = await executor.lend(call, deadline, is_transaction=True)
     if isinstance(lent, Err):
         return lent
--- a/src/sedgeshunt/statements/__init__.py
+++ b/src/sedgeshunt/statements/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what callers ask for by statements, and their sessions."""
+"""Run callers' statement sessions and dispatch their calls."""
--- a/src/sedgeshunt/statements/call.py
+++ b/src/sedgeshunt/statements/call.py
@@ -1,4 +1,4 @@
-"""Describe the work that one proxy does for a caller, here or at a peer."""
+"""Describe a call: one statement that a proxy runs, here or at a peer."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -18,14 +18,14 @@
 
 
 class Access(Enum):
-    """Tell which targets may do the work."""
+    """Name the targets that may run a call."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
 
 
 class CallKind(Enum):
-    """Tell what a call does at its target."""
+    """Name what a call does at its target."""
 
     READ = 'read'
     WRITE = 'write'
@@ -34,7 +34,7 @@
 
 
 class StatementCall(Struct, frozen=True):
-    """Hold one statement with all that its target's proxy has to know."""
+    """Hold one statement and all that is needed to run it at any proxy."""
 
     group: GroupId
     access: Access
@@ -42,38 +42,39 @@
     statement: StatementId
     text: str
     traffic_class: TrafficClass
-    # Time until the caller's answer is worth nothing.
+    # Time until the caller's deadline.
     time_left: Seconds
-    # Time until the caller's objective is missed; may be negative.
+    # Time until the route's objective is missed; may be negative.
     objective_left: Seconds
-    # 0 is served first.
+    # 0 is the highest priority.
     priority: int = 0
     transaction: TransactionId | None = None
-    # The transaction's first statement: its target begins it.
+    # The first statement of a transaction, which opens it at the target.
     begins: bool = False
     is_read_only: bool = False
-    # Session values that the statement must find.
+    # Session values that must be set when the statement runs.
     session_values: Mapping[str, str] = field(default_factory=dict)
     prepared: PreparedStatement | None = None
-    # For an execution: what follows the prepared name.
+    # For an EXECUTE: the text after the prepared name.
     arguments: str = ''
-    # The session's last commit, which a replica must hold.
+    # The session's last commit, which a replica must have applied.
     after: Point | None = None
-    # Oldest state that a replica may serve from.
+    # Staleness bound for reads at replicas.
     max_age: Seconds = Seconds(0)
-    # A peer passes it on to the owner; nobody passes it on again.
+    # A peer relayed the call to the owner; it must not be relayed again.
     is_relayed: bool = False
-    # Refuse it at once where it would have to queue: others may have room.
+    # The call is refused at once instead of queued, as it may find a free slot
+    # elsewhere.
     is_prompt: bool = False
-    # In whose name it is made.
+    # The customer on whose behalf the call is made.
     identity: Identity = Identity()
 
     @property
     def is_irreversible(self) -> bool:
-        """Return whether the call, once sent, can't be taken back.
+        """Return whether the call, once sent, cannot be undone.
 
-        Anything else in a transaction is undone with it, and reads are
-        harmless.
+        Other statements of a transaction are rolled back with it, and reads
+        have no effect.
         """
         if self.kind is CallKind.COMMIT:
             return True
--- a/src/sedgeshunt/statements/counts.py
+++ b/src/sedgeshunt/statements/counts.py
@@ -1,4 +1,4 @@
-"""Count how statements end and what is decided."""
+"""Count the outcomes of statements and the decisions."""
 
 from sedgeshunt.decisions import Decision, DecisionLog
 from sedgeshunt.metrics import Metrics
@@ -7,15 +7,15 @@
 
 
 class StatementCounts(StatementRecorder):
-    """Count each statement, then have it taken down."""
+    """Count each statement before passing it on to be recorded."""
 
     def __init__(self, metrics: Metrics, inner: StatementRecorder) -> None:
-        """Count in `metrics`, pass on to `onward`."""
+        """Count in `metrics` and pass on to `inner`."""
         self._metrics = metrics
         self._inner = inner
 
     def record(self, end: StatementRecord) -> None:
-        """Count one statement by its outcome and its cause."""
+        """Count one statement by its outcome and cause."""
         metrics = self._metrics
         metrics.count(f'requests.{name_outcome(end.refusal)}')
         if end.refusal is None:
@@ -28,10 +28,10 @@
 
 
 class DecisionCounts(DecisionLog):
-    """Count each decision, then have it taken down."""
+    """Count each decision before passing it on to be recorded."""
 
     def __init__(self, metrics: Metrics, inner: DecisionLog) -> None:
-        """Count in `metrics`, pass on to `onward`."""
+        """Count in `metrics` and pass on to `inner`."""
         self._metrics = metrics
         self._inner = inner
 
--- a/src/sedgeshunt/statements/dispatch.py
+++ b/src/sedgeshunt/statements/dispatch.py
@@ -1,4 +1,4 @@
-"""Choose where a call runs: here, or at the peer that can run it."""
+"""Dispatch calls to this proxy or to a peer that can run them."""
 
 from abc import ABC, abstractmethod
 from asyncio import CancelledError, Task, create_task, wait
@@ -17,22 +17,22 @@
 from sedgeshunt.statements.call import Access, StatementCall
 from sedgeshunt.statements.sites import CallSite
 
-# A call that found no owner looks again at each change, and after so long.
+# A call without an owner checks again at each change, and after this time.
 OWNER_CHECK_INTERVAL = Seconds(0.02)
-# How often the peer that reads is looked at while its answer is awaited.
+# How often a reader's heartbeat is checked while its answer is awaited.
 READER_CHECK_INTERVAL = Seconds(0.05)
 SILENT_RETRY = Seconds(0.1)
 _Outcome = Result[Answer, Refusal]
-# What ended an attempt that another one may mend.
+# Causes after which another attempt may succeed.
 _TRANSIENT_CAUSES = frozenset((Cause.SUPERSEDED, Cause.CONNECTION_LOST))
 
 
 class SiteFinder(ABC):
-    """Know where a group's work can be done."""
+    """Find the sites where a group's calls can run."""
 
     @abstractmethod
     def find_owner(self, group: GroupId) -> CallSite | None:
-        """Return the place that uses the primary, None when unknown."""
+        """Return the site of the group's owner, None if unknown."""
 
     @abstractmethod
     def find_readers(
@@ -40,31 +40,31 @@
         group: GroupId,
         customer: CustomerId,
     ) -> Sequence[CallSite]:
-        """Return places that read the replicas for a customer, best first."""
+        """Return a customer's sites for reads at replicas, best first."""
 
     @abstractmethod
     def expect_owner(self, group: GroupId) -> Monotonic | None:
-        """Return when an owner should be there, None when nobody knows."""
+        """Return when an owner is expected, None if unknown."""
 
     @abstractmethod
     async def wait_change(self, deadline: Monotonic) -> None:
-        """Wait until an owner may have come or gone."""
+        """Wait until the owner may have changed, `deadline` at most."""
 
 
 class DispatchResult(Struct, frozen=True):
-    """Hold a call's outcome and the place where it ran."""
+    """Hold a call's outcome and the site where it ran."""
 
     outcome: Result[Answer, Refusal]
     site: CallSite | None = None
 
 
 class Dispatcher:
-    """Carry calls to the place that can run them, again where that is safe."""
+    """Run calls at suitable sites and retry them where that is safe."""
 
     def __init__(self, sites: SiteFinder) -> None:
-        """Look places up in `sites`."""
+        """Find sites through `sites`."""
         self._sites = sites
-        # Reads at peers that have fallen silent.
+        # Abandoned reads at peers that became unresponsive.
         self._detached: set[Task[_Outcome]] = set()
 
     async def run(
@@ -73,7 +73,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> DispatchResult:
-        """Run a call that is not bound to a place yet."""
+        """Run a call that is not bound to a site yet."""
         if call.access is Access.REPLICA:
             dispatched = await self._read(call, transactions, deadline)
             if not isinstance(dispatched.outcome.err(), NotRun):
@@ -90,11 +90,11 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> DispatchResult:
-        """Read where there is room, else where the queue is shortest."""
-        # A group that has lost a replica has too few places for its reads at
-        # the other one, and a primary that is half idle: reads came late in the
-        # replica's queue, and went to the primary only when it was too long.
-        # Where the primary is busy too, they queue at the replica as before.
+        """Read at a replica with a free slot, else the primary, else queue."""
+        # After the loss of a replica, the remaining one may have too few slots
+        # for the group's reads while the primary is half idle. Queued at the
+        # replica, reads would miss their objective. If the primary is busy too,
+        # they queue at the replica.
         prompt = replace(call, is_prompt=True)
         dispatched = await self._run_at_readers(prompt, transactions, deadline)
         if not _is_overloaded(dispatched.outcome.err()):
@@ -129,12 +129,12 @@
         call: StatementCall,
         reading: Coroutine[Any, Any, _Outcome],
     ) -> _Outcome:
-        """Return a reader's outcome, or leave a reader that falls silent."""
-        # Safeguard: a reader that was cut off says nothing, and that it is gone
-        # is certain only after most objectives. A read is harmless twice, so it
-        # is asked elsewhere as soon as the reader misses a heartbeat. One that
-        # is only slow is waited for: asked elsewhere too, reads would make an
-        # overload last that they are slow from.
+        """Return a reader's outcome, or abandon an unresponsive reader."""
+        # A reader behind a network partition sends no reply, and its loss is
+        # certain only after most objectives are missed. Reads are idempotent,
+        # so they are retried elsewhere once the reader misses a heartbeat. A
+        # reader that is merely slow is not abandoned: retries would prolong the
+        # overload that slows it down.
         if call.transaction is not None:
             return await reading
         task = create_task(reading)
@@ -177,8 +177,8 @@
     def _expect(
         self, group: GroupId, site: CallSite | None
     ) -> Monotonic | None:
-        # An owner that has given its primary up knows itself whether a wait
-        # for the next one is worth it.
+        # A known owner decides itself whether waiting for a new primary is
+        # worthwhile.
         if site is not None:
             return Monotonic(read_clock() + OWNER_CHECK_INTERVAL)
         return self._sites.expect_owner(group)
@@ -189,7 +189,7 @@
 
 
 def _may_read_elsewhere(refusal: Refusal | None) -> bool:
-    # A reader asks all replicas: what they lack is at the primary only.
+    # A reader tries all replicas, so what they lack is at the primary only.
     return isinstance(refusal, NotRun) and refusal.cause is not Cause.TOO_STALE
 
 
--- a/src/sedgeshunt/statements/owners.py
+++ b/src/sedgeshunt/statements/owners.py
@@ -1,4 +1,4 @@
-"""Find the place that uses a group's primary at this moment."""
+"""Find the owner of a group and the readers of its replicas."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -23,18 +23,18 @@
 from sedgeshunt.statements.dispatch import SiteFinder
 from sedgeshunt.statements.sites import CallSite, LocalSite, PeerSite
 
-# From an owner's silence to the next owner's first answer: the silence itself,
-# promises and lease, a claim and a look at the primary.
+# Estimated time from an owner's failure to the next owner's first answer: its
+# detection, the end of promises and lease, a claim and a primary probe.
 TAKEOVER_ESTIMATE = Seconds(1.3)
-# From an owner's word that it gives a group up to the heir's first answer: a
-# transaction in the store, its watch, a claim and a look at the primary.
+# Estimated time from an owner's release of a group to the next owner's first
+# answer: a transaction in the store, its watch, a claim and a primary probe.
 HANDOVER_ESTIMATE = Seconds(0.3)
-# Readers that are asked for one read. Those behind them have the same replicas.
+# Readers tried for one read. Further readers have the same replicas.
 MAX_READERS = 2
 
 
 class OwnerDirectory(SiteFinder):
-    """Know owners by the store and by what they say themselves."""
+    """Find owners by the store's records and by peers' heartbeats."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         lease: InstanceLease,
         changed: ChangeSignal,
     ) -> None:
-        """Wake those who wait at each of `changed`."""
+        """Wait for changes of owners on `changed`."""
         self._groups = groups
         self._neighbours = neighbours
         self._records = records
@@ -53,7 +53,7 @@
         self._ownerless_since: dict[GroupId, Monotonic] = {}
 
     def find_owner(self, group: GroupId) -> CallSite | None:
-        """Return the place that uses the primary, None when unknown."""
+        """Return the site of the group's owner, None if unknown."""
         site = self.find_direct_owner(group) or self._find_relay(group)
         if site is None:
             self._ownerless_since.setdefault(group, read_clock())
@@ -62,7 +62,7 @@
         return site
 
     def find_direct_owner(self, group: GroupId) -> CallSite | None:
-        """Return the owner if it is here, or is heard from here."""
+        """Return the owner if it is this proxy or a peer in contact."""
         access = self._groups.get(group)
         if access is not None and access.owner is not None:
             return LocalSite(access)
@@ -74,7 +74,7 @@
         group: GroupId,
         customer: CustomerId,
     ) -> Sequence[CallSite]:
-        """Return places that read the replicas for a customer, best first."""
+        """Return a customer's sites for reads at replicas, best first."""
         access = self._groups.get(group)
         if access is None:
             return ()
@@ -88,20 +88,20 @@
         return () if link is None else (PeerSite(link),)
 
     def expect_owner(self, group: GroupId) -> Monotonic | None:
-        """Return when an owner should be there, None when nobody knows."""
-        # Cut off alone: whoever owns the group is on the other side.
+        """Return when an owner is expected, None if unknown."""
+        # Fully isolated: any owner is on the other side of the partition.
         if not self._lease.reaches_store() and not self._has_reachable_peer():
             return None
         since = self._ownerless_since.get(group, read_clock())
         record = self._records.find_record(group)
-        # Given to somebody, or to be had by anybody, as after a start of all.
+        # Released to the next owner, or free to claim, as after a full restart.
         is_free = record is None or record.heir or not record.owner
         usual = HANDOVER_ESTIMATE if is_free else TAKEOVER_ESTIMATE
         expected = Monotonic(since + usual)
         return expected if read_clock() < expected else None
 
     async def wait_change(self, deadline: Monotonic) -> None:
-        """Wait until an owner may have come or gone."""
+        """Wait until the owner may have changed, `deadline` at most."""
         await self._changed.wait(deadline)
 
     def _has_reachable_peer(self) -> bool:
@@ -142,7 +142,7 @@
         if reader == self._neighbours.own_name:
             return LocalSite(access) if access.reader.has_replicas() else None
         link = self._neighbours.find_link(reader)
-        # One that has missed a heartbeat may be cut off; others will do.
+        # A peer that has missed a heartbeat may be cut off; use another one.
         if link is None or link.is_stopping or not link.is_answering():
             return None
         return PeerSite(link)
@@ -154,12 +154,12 @@
             for link in map(self._neighbours.find_link, readers)
             if link is not None and not link.is_stopping
         ]
-        # The hash of the names would send all callers to the same one.
+        # The rank by hash would send all callers to the same reader.
         return min(links, key=_count_calls, default=None)
 
     def _find_recorded_owner(self, group: GroupId) -> PeerLink | None:
-        # What the store said before it fell silent is no news: the owner says
-        # itself whether it still is.
+        # Without the store its last record may be outdated. The owner's own
+        # heartbeats show whether it still owns the group.
         owner = self._records.find_owner(group)
         if owner is None or not self._lease.reaches_store():
             return None
@@ -169,7 +169,7 @@
         return link
 
     def _find_relay(self, group: GroupId) -> CallSite | None:
-        # The way to the owner may be cut here and open from a peer.
+        # A peer may still reach an owner that this proxy cannot reach.
         for link in self._neighbours.list_heard():
             if group in link.relayed:
                 return PeerSite(link, is_relay=True)
--- a/src/sedgeshunt/statements/peer_requests.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -1,4 +1,4 @@
-"""Do for peers what they can't do themselves."""
+"""Answer peers' requests and send requests to peers."""
 
 from asyncio import gather
 from collections.abc import Callable, Iterator
@@ -55,12 +55,12 @@
 from sedgeshunt.statements.sites import LocalSite
 
 NOT_SERVED_RETRY = Seconds(0.2)
-# A peer renews a lease in one call, which the store answers in 4 ms.
+# A peer renews a lease with one request, which the store answers in 4 ms.
 RENEWAL_TIMEOUT = Seconds(0.2)
 
 
 class LocalRequestHandler(PeerDesk):
-    """Run peers' calls, or pass them on, and answer their questions."""
+    """Run or relay peers' calls and answer their queries."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         feeds: FeedDesk,
         gate: CountedGate,
     ) -> None:
-        """Work with what this proxy has."""
+        """Answer with the parts of this proxy."""
         self._feeds = feeds
         self._gate = gate
         self._groups = groups
@@ -89,7 +89,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a statement for a peer's caller, or pass it on to the owner."""
+        """Run a statement for a peer's caller, or relay it to the owner."""
         access = self._groups.get(call.group)
         if access is None:
             return Err(
@@ -112,11 +112,11 @@
         transaction: TransactionId,
         transactions: TransactionTable,
     ) -> None:
-        """Undo a peer's transaction."""
+        """Roll back a peer's transaction."""
         await transactions.roll_back(transaction)
 
     async def reaches(self, group: GroupId, target: TargetId) -> bool:
-        """Return whether a target that leads its group is reached from here."""
+        """Return whether this proxy reaches a target that is a primary."""
         access = self._groups.get(group)
         members = self._configuration.find_members(group)
         known = None if members is None else members.find(target)
@@ -129,7 +129,7 @@
         return status is not None and status.role is LogRole.PRIMARY
 
     async def keep_lease(self, asked: KeptLease) -> bool:
-        """Renew a peer's lease in the store; tell whether it goes on."""
+        """Renew a peer's lease in the store; return whether it is valid."""
         self._store.observe_era(asked.era)
         if asked.era != self._store.era:
             return False
@@ -139,11 +139,11 @@
             return False
 
     async def count(self, spend: Spend) -> Spent:
-        """Count what a customer wants to begin at a peer."""
+        """Count the operations that a customer begins at a peer."""
         return await self._gate.answer(spend)
 
     def read_tip(self, group: GroupId) -> Point | None:
-        """Return the log end of a group that is owned here."""
+        """Return a group's log end, None unless it is owned here."""
         return self._groups.read_tip(group)
 
     def answer_beat(self, beat: Beat) -> BeatReply:
@@ -151,11 +151,11 @@
         return self._heartbeats.answer(beat)
 
     def hand_on(self, receive: ChangeReceiver, after: Revision) -> None:
-        """Hand a peer what the store changes after a revision."""
+        """Forward the store's changes after a revision to a peer."""
         self._feeds.hand_on(receive, after)
 
     def stop_handing(self, receive: ChangeReceiver) -> None:
-        """Hand a peer nothing more."""
+        """Stop forwarding changes to a peer."""
         self._feeds.stop(receive)
 
     async def _relay(
@@ -189,7 +189,7 @@
 
 
 class ReachablePeers(PeerQueries, LeaseRelay):
-    """Ask the peers that are heard."""
+    """Query the peers that are in contact."""
 
     def __init__(
         self,
@@ -197,7 +197,7 @@
         records: GroupRecords,
         find_zone: Callable[[GroupId], ZoneId | None],
     ) -> None:
-        """Ask among `neighbours`; `find_zone` tells a primary's zone."""
+        """Query `neighbours`; `find_zone` returns a primary's zone."""
         self._neighbours = neighbours
         self._records = records
         self._find_zone = find_zone
@@ -207,7 +207,7 @@
         group: GroupId,
         target: TargetId,
     ) -> ProxyId | None:
-        """Return a peer that reaches a target that leads; None for none."""
+        """Return a peer that reaches the primary `target`, None if none."""
         links = dict(self._list_capable())
         reached = await gather(
             *(
@@ -218,7 +218,7 @@
         return min(compress(links, reached), default=None)
 
     def find_next_owner(self, group: GroupId) -> ProxyId | None:
-        """Return the best candidate that reaches the store, None for none."""
+        """Return the best candidate that reaches the store, None if none."""
         record = self._records.find_record(group)
         if record is None:
             return None
--- a/src/sedgeshunt/statements/records.py
+++ b/src/sedgeshunt/statements/records.py
@@ -1,4 +1,4 @@
-"""Take down how statements ended, as many as a log can bear."""
+"""Record the outcomes of statements."""
 
 from abc import ABC, abstractmethod
 
@@ -17,17 +17,17 @@
 
 
 class StatementRecord(Struct, frozen=True):
-    """Hold what decided how one statement ended."""
+    """Hold the outcome of one statement and what determined it."""
 
     statement: StatementId
     database: TrafficClass
     group: GroupId
     kind: str
-    # None for an answer.
+    # None if the statement was answered.
     refusal: Refusal | None
     spent: Seconds
     objective: Seconds
-    # What the proxy went by: the declarations, and where it sent the call.
+    # The version of the declarations, and the site that the call was sent to.
     version: int
     site: str
     target: TargetId | None = None
@@ -36,15 +36,15 @@
 
 
 class StatementRecorder(ABC):
-    """Take down statements; no call may block or raise."""
+    """Record statements; implementations must not block or raise."""
 
     @abstractmethod
     def record(self, end: StatementRecord) -> None:
-        """Take down how one statement ended."""
+        """Record the outcome of one statement."""
 
 
 class NullRecorder(StatementRecorder):
-    """Take nothing down."""
+    """Discard all records."""
 
     def record(self, end: StatementRecord) -> None:
-        """Drop it."""
+        """Discard one record."""
--- a/src/sedgeshunt/statements/session.py
+++ b/src/sedgeshunt/statements/session.py
@@ -1,4 +1,4 @@
-"""Answer one caller's statements in order, within its session."""
+"""Run the statements of one caller's session in order."""
 
 from collections.abc import Mapping
 from itertools import count
@@ -42,7 +42,7 @@
 
 MILLISECONDS = 1000
 LOST_RETRY = Seconds(0.05)
-# Where a call ran that found no place.
+# Recorded as the site of a call that ran nowhere.
 NO_SITE = 'nowhere'
 UNKNOWN_STATEMENT = 'no-statement'
 MALFORMED = 'malformed'
@@ -54,7 +54,7 @@
 
 
 class CallerTransaction:
-    """Hold a caller's transaction from its BEGIN to its end."""
+    """Hold a caller's transaction from BEGIN to its end."""
 
     def __init__(
         self,
@@ -64,11 +64,11 @@
         *,
         is_read_only: bool,
     ) -> None:
-        """Begin nowhere before the first statement."""
+        """Start without a site, which the first statement chooses."""
         self.id = transaction
-        # A key that is taken away meanwhile lets it go on to its end.
+        # Kept even if the key is revoked before the transaction ends.
         self.identity = identity
-        # A change of the route applies from the next transaction on.
+        # Kept even if the route changes before the transaction ends.
         self.route = route
         self.is_read_only = is_read_only
         self.site: CallSite | None = None
@@ -76,7 +76,7 @@
 
 
 class StatementSession:
-    """Serve one caller's connection to one database."""
+    """Run the statements of one caller's connection to one database."""
 
     def __init__(
         self,
@@ -88,9 +88,9 @@
         gate: CustomerGate,
         recorder: StatementRecorder,
     ) -> None:
-        """Open with no values, no statements and no transaction."""
+        """Start without values, prepared statements and a transaction."""
         self.database = database
-        # Its key is nobody's any more: nothing is run for it again.
+        # The session's key is no longer any customer's; no statement may run.
         self.is_key_revoked = False
         self._key = key
         self._name = name
@@ -107,18 +107,18 @@
 
     @property
     def phase(self) -> SessionPhase:
-        """Return whether a transaction is open."""
+        """Return the session's phase: idle, or in a transaction."""
         if self._transaction is None:
             return SessionPhase.IDLE
         return SessionPhase.OPEN
 
     @property
     def in_transaction(self) -> bool:
-        """Return whether the caller has a transaction to end."""
+        """Return whether the caller has a transaction open."""
         return self._transaction is not None
 
     async def answer(self, statement: Statement) -> _Outcome:
-        """Carry one statement to its one outcome."""
+        """Run one statement and return its outcome."""
         kind = statement.kind
         if kind is StatementKind.BEGIN:
             return self._begin(statement)
@@ -131,7 +131,7 @@
         return await self._run(statement)
 
     async def close(self) -> None:
-        """Undo an open transaction; the caller has left."""
+        """Roll back open transactions after the caller disconnected."""
         await self._drop_transaction()
         await self._transactions.roll_back_all()
 
@@ -244,7 +244,8 @@
         transaction.has_written |= call.kind is CallKind.WRITE
         outcome = await self._send_in_transaction(transaction, call)
         if isinstance(outcome, Err):
-            # It ends here: nothing of it is kept, and the caller begins anew.
+            # The failure ends the transaction, of which nothing is kept; the
+            # caller has to begin it again.
             self._transaction = None
             return Err(_convert_refusal(outcome.err_value))
         return outcome
@@ -275,7 +276,7 @@
         call: StatementCall,
         deadline: Monotonic,
     ) -> DispatchResult:
-        """Run an operation's first statement if its customer may begin it."""
+        """Run an operation's first statement if its customer is admitted."""
         refusal = await self._gate.admit(call.identity)
         if refusal is not None:
             return DispatchResult(Err(refusal))
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -1,4 +1,4 @@
-"""Name the places where calls run: this instance, or a peer."""
+"""Run calls at a site: this proxy or a peer."""
 
 from abc import abstractmethod
 
@@ -18,9 +18,9 @@
 
 
 class CallSite(TransactionHost):
-    """Run calls in one place."""
+    """Run calls at one proxy."""
 
-    # The proxy that runs them, for reports.
+    # The proxy's name in records.
     name: str
 
     @abstractmethod
@@ -30,18 +30,18 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a call; `transactions` keeps transactions that are run here."""
+        """Run a call; `transactions` holds those opened at this proxy."""
 
     @abstractmethod
     def is_answering(self) -> bool:
-        """Return whether the place has answered the latest heartbeats."""
+        """Return whether the proxy has answered the latest heartbeats."""
 
 
 class LocalSite(CallSite):
-    """Run calls at this instance."""
+    """Run calls at this proxy."""
 
     def __init__(self, access: GroupAccess) -> None:
-        """Run them by `access`."""
+        """Run calls through `access`."""
         self.name = 'here'
         self._access = access
 
@@ -51,11 +51,11 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a call here."""
+        """Run a call at this proxy."""
         return await self._access.run_call(call, transactions, deadline)
 
     def is_answering(self) -> bool:
-        """Tell that it is here."""
+        """Return True: this proxy needs no heartbeat."""
         return True
 
     async def end_transaction(
@@ -63,15 +63,15 @@
         transaction: TransactionId,
         transactions: TransactionTable,
     ) -> None:
-        """Undo a transaction that its caller gives up."""
+        """Roll back a transaction that its caller gave up."""
         await transactions.roll_back(transaction)
 
 
 class PeerSite(CallSite):
-    """Run calls at a peer, or through it at the owner that it hears."""
+    """Run calls at a peer, or relay them through it to the owner."""
 
     def __init__(self, link: PeerLink, *, is_relay: bool = False) -> None:
-        """Run them over `link`."""
+        """Send calls over `link`."""
         self.name = f'via {link.peer.name}' if is_relay else link.peer.name
         self._link = link
         self._is_relay = is_relay
@@ -82,7 +82,7 @@
         transactions: TransactionTable,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Have the peer run a call."""
+        """Send a call to the peer."""
         left = Seconds(max(0, deadline - read_clock()))
         sent = replace(call, time_left=left, is_relayed=not self._is_relay)
         return await self._link.call(sent, deadline)
@@ -96,5 +96,5 @@
         transaction: TransactionId,
         transactions: TransactionTable,
     ) -> None:
-        """Have the peer undo a transaction."""
+        """Ask the peer to roll back a transaction."""
         self._link.end_transaction(transaction)
--- a/src/sedgeshunt/statements/statement.py
+++ b/src/sedgeshunt/statements/statement.py
@@ -8,7 +8,7 @@
 
 
 class StatementKind(Enum):
-    """Tell what a statement does to its session or its target."""
+    """Name what a statement does to its session or target."""
 
     READ = 'read'
     WRITE = 'write'
@@ -22,24 +22,24 @@
 
 
 class PreparedStatement(Struct, frozen=True):
-    """Hold what a prepared name stands for, whatever the name."""
+    """Hold the content of a prepared statement without its name."""
 
     writes: bool
     shape: str
 
 
 class Statement(Struct, frozen=True):
-    """Hold one statement as the caller sent it, and its parts."""
+    """Hold one statement as the caller sent it and its parsed parts."""
 
     id: StatementId
-    # What the target has to get, unchanged.
+    # The text to send to the target, unchanged.
     text: str
     kind: StatementKind
-    # The session value or prepared statement that it names.
+    # The named session value or prepared statement.
     name: str = ''
-    # What follows the name: a value, or the arguments of an execution.
+    # The text after the name: a value, or the arguments of an EXECUTE.
     rest: str = ''
-    # For BEGIN: the transaction only reads.
+    # For BEGIN: the transaction is read-only.
     is_read_only: bool = False
-    # For PREPARE: what the name will stand for.
+    # For PREPARE: the statement that gets the name.
     prepared: PreparedStatement | None = None
