--- a/tests/features/node_bench.py
+++ b/tests/features/node_bench.py
@@ -1,4 +1,4 @@
-"""Run whole proxies for statement sessions in virtual time."""
+"""Run whole proxies in virtual time to test statement sessions."""
 
 from asyncio import Task, create_task, sleep
 from collections.abc import Callable, Coroutine
@@ -70,13 +70,13 @@
 GROUP = GroupId('songbook')
 ZONES = ('east', 'north', 'west')
 FIRST_PORT = 5000
-# Operations over a limit that all proxies together may begin.
+# Operations beyond a limit that all proxies together may begin.
 CUSTOMER_SLACK = 20
 HOST = '127.0.0.1'
 # Time for all proxies to register, claim and find the primary.
 START_TIME = 2.5
 PUBLISH_EVERY = 0.02
-# The operator writes again what the store has lost, so long after its return.
+# Seconds after the store's return until the operator writes lost keys again.
 REWRITE_AFTER = 0.1
 
 Outcome = Result[Answer, Refusal]
@@ -114,7 +114,7 @@
 
 
 class Node:
-    """Hold one proxy with its ways in and out."""
+    """Hold one proxy and its stand-in connections."""
 
     def __init__(self, bench: 'NodeBench', name: str, port: int) -> None:
         """Build it without starting it."""
@@ -149,7 +149,7 @@
         self.task: Task[None] = create_task(self.service.run())
 
     def kill(self) -> None:
-        """End it at once, as a crash of its process does."""
+        """Stop the proxy at once, as a crash of its process does."""
         self.task.cancel()
         self.frames.drop(self.address)
 
@@ -162,7 +162,7 @@
         seed(1)
         self.time = VirtualTime()
         self.network = Network()
-        # How long the whole world has been suspended.
+        # How long the emulated machines have been suspended.
         self.suspended: float = 0
         self._clock = patch(
             'sedgeshunt.clocks.clock_gettime',
@@ -177,9 +177,9 @@
         self._ports = count(FIRST_PORT)
         self._ids = count(1)
         self._version = 0
-        # None: nothing is said of customers.
+        # None: the declarations contain no customers.
         self.customers: list[Customer] | None = None
-        # Processes that were replaced by new ones.
+        # Proxies that were restarted, as they were before.
         self._ended: list[Node] = []
         # How long a primary takes to write its entry after a return.
         self.relist_time: float = 0
@@ -195,7 +195,7 @@
         self.time.watch(self._publish())
 
     def close(self) -> None:
-        """End all."""
+        """Stop all proxies and the clock."""
         self.time.cancel_watches()
         for node in self.nodes.values():
             node.task.cancel()
@@ -210,11 +210,11 @@
         self.wait(START_TIME)
 
     def restart(self, name: str) -> None:
-        """Start a proxy of the same name and address anew."""
+        """Restart a proxy under the same name and address."""
         self.time.act(lambda: self._start(name))
 
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         self.time.run(sleep(seconds))
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
@@ -234,7 +234,7 @@
         return session
 
     async def answer(self, session: StatementSession, text: str) -> Outcome:
-        """Have a session answer one statement."""
+        """Run one statement in a session."""
         name = StatementId(f's{next(self._ids)}')
         return await session.answer(read_statement(name, text))
 
@@ -261,17 +261,20 @@
         self.put(CONFIGURATION_KEY, make_document(document))
 
     def declare_again(self) -> None:
-        """Write the same routes, with what the group is now."""
+        """Write the same routes with the group's current settings."""
         self.declare(ROUTES)
 
     def put(self, key: str, document: bytes) -> None:
-        """Write into the store as the operator or a database does."""
+        """Write to the store as the operator or a database does."""
         self.time.act(
             lambda: self.store.store.commit((), (Put(key, document),)),
         )
 
     def return_store(self, away: float, age: float) -> None:
-        """Have the store come back after `away` s as it was `age` s before."""
+        """Take the store down for `away` s; restore its state of `age` s ago.
+
+        The age counts from the beginning of the outage.
+        """
         declared = self.read(CONFIGURATION_KEY)
         self.time.act(self.store.outage)
         self.wait(away)
@@ -283,7 +286,7 @@
             self.put(CONFIGURATION_KEY, declared)
 
     def read(self, key: str) -> bytes | None:
-        """Return what the store holds under a key, None for nothing."""
+        """Return the store's value of a key, None if there is none."""
         listing = self.store.store.list_matching(key.__eq__)
         return listing.pairs[0].value if listing.pairs else None
 
@@ -303,7 +306,7 @@
         return sorted(decisions, key=_read_token)
 
     def count_decisions(self, kind: DecisionKind) -> int:
-        """Count the decisions of a kind that all proxies took down."""
+        """Count the decisions of a kind that all proxies recorded."""
         return sum(
             len(node.decisions.list_decisions(kind))
             for node in self.nodes.values()
--- a/tests/features/node_callers.py
+++ b/tests/features/node_callers.py
@@ -1,4 +1,4 @@
-"""Keep callers busy at whole proxies and remember what they were told."""
+"""Run callers at whole proxies and record what they were told."""
 
 from asyncio import sleep
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass
 class Told:
-    """Hold one statement and what its caller was told."""
+    """Hold one statement and the outcome that its caller got."""
 
     text: str
     asked_at: float
@@ -25,7 +25,7 @@
 
     @property
     def is_done(self) -> bool:
-        """Return whether it was acknowledged."""
+        """Return whether the statement was acknowledged."""
         return isinstance(self.outcome, Ok)
 
     @property
@@ -36,7 +36,7 @@
 
     @property
     def refusal(self) -> NotRun | Unknown:
-        """Return why there is no answer."""
+        """Return the refusal of a statement that was not acknowledged."""
         refusal = self.outcome.err()
         assert isinstance(refusal, NotRun | Unknown), self.outcome
         return refusal
@@ -44,16 +44,16 @@
 
 @dataclass
 class Callers:
-    """Hold what callers of one scenario were told."""
+    """Hold the outcomes of one scenario's statements."""
 
     bench: NodeBench
     told: list[Told] = field(default_factory=list)
-    # Owners of the group whenever it was looked at.
+    # The group's owner at each check.
     owners: list[tuple[float, str]] = field(default_factory=list)
     is_over: bool = False
 
     async def ask(self, session: StatementSession, text: str) -> Told:
-        """Run one statement and keep its end."""
+        """Run one statement and record its outcome."""
         asked_at = read_clock()
         outcome = await self.bench.answer(session, text)
         told = Told(text, asked_at, read_clock(), outcome)
@@ -61,7 +61,7 @@
         return told
 
     async def write_on(self, session: StatementSession, pause: float) -> None:
-        """Write one thing after the other until the scenario's end."""
+        """Write a new item after each pause until the scenario ends."""
         number = 0
         while not self.is_over:
             number += 1
@@ -74,13 +74,13 @@
         until: float,
         pause: float = 0,
     ) -> None:
-        """Read the newest write's item until a moment."""
+        """Read the item until a moment, with pauses."""
         while read_clock() < until:
             await self.ask(session, 'READ item')
             await sleep(pause)
 
     async def watch_owners(self) -> None:
-        """Look again and again who owns the group; two at once fail."""
+        """Record the group's owner repeatedly; fail if there are two."""
         while not self.is_over:
             owner = self.bench.find_owner()
             if owner is not None:
@@ -101,7 +101,7 @@
 
 
 def open_bench(context: Any) -> NodeBench:
-    """Return the scenario's bench, a new one at its first use."""
+    """Return the scenario's bench, created at its first use."""
     if not hasattr(context, 'nodes'):
         context.nodes = NodeBench()
         context.callers = Callers(context.nodes)
@@ -111,6 +111,6 @@
 
 
 def close_bench(context: Any) -> None:
-    """End the scenario's callers and proxies."""
+    """Stop the scenario's callers and proxies."""
     context.callers.is_over = True
     context.nodes.close()
--- a/tests/features/steps/statement_steps.py
+++ b/tests/features/steps/statement_steps.py
@@ -1,4 +1,4 @@
-"""Check statement sessions that share connections to targets."""
+"""Check statement sessions on shared connections to targets."""
 
 from asyncio import create_task, gather, sleep
 from collections.abc import Coroutine
@@ -13,7 +13,7 @@
 from tests.features.node_bench import GROUP, NodeBench
 from tests.features.node_callers import Callers
 
-# Connections to a target that are open before a scenario's statements.
+# Connections that are opened to a target before a scenario's statements.
 CONNECTIONS = 8
 
 
@@ -47,7 +47,7 @@
     context.value = name
 
 
-@then('each write found the values of its own caller')
+@then('each write ran with the values of its own caller')
 def check_values(context: Any) -> None:
     runs = context.nodes.group.runs
     assert runs
@@ -67,7 +67,7 @@
     context.read = bench.ask(reader, f'EXECUTE {name} turn')
 
 
-@then('each runs its own')
+@then('each executes its own statement')
 def check_prepared(context: Any) -> None:
     assert context.wrote.is_ok(), context.wrote
     assert context.read.ok_value.rows == [('7',)], context.read
@@ -117,8 +117,8 @@
     async def leave() -> None:
         others = [await open_session(bench, database) for _ in range(6)]
         await open_connections(bench, database)
-        # With values of their own, their connections are not the next
-        # caller's first choice.
+        # Session values make the pool prefer other connections for the next
+        # caller.
         for other in others:
             await bench.answer(other, 'SET lang rw')
         busy = [
@@ -277,7 +277,7 @@
     assert context.told.is_done
 
 
-@then('its transaction is said to be undone')
+@then('its transaction is reported as rolled back')
 def check_undone(context: Any) -> None:
     refusal = context.told.refusal
     assert isinstance(refusal, NotRun)
@@ -300,7 +300,7 @@
 
 
 async def open_connections(bench: NodeBench, database: str) -> None:
-    """Have the first proxy keep some connections open."""
+    """Open some connections from the first proxy to its primary."""
 
     async def use() -> None:
         session = await open_session(bench, database)
@@ -319,7 +319,7 @@
 
 
 def run_all(bench: NodeBench, works: list[Coroutine[Any, Any, Any]]) -> None:
-    """Run several callers side by side to their end."""
+    """Run several callers concurrently to their end."""
 
     async def run() -> None:
         await gather(*works)
--- a/tests/standins/statement_front.py
+++ b/tests/standins/statement_front.py
@@ -1,4 +1,4 @@
-"""Serve stand-in databases over the users' wire protocol."""
+"""Serve the stand-in databases over the callers' wire protocol."""
 
 from asyncio import Server, StreamReader, StreamWriter, start_server
 from contextlib import suppress
@@ -51,7 +51,7 @@
             self._servers.append(server)
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for server in self._servers:
             server.close()
 
@@ -97,14 +97,14 @@
 
 
 class _Conversation:
-    """Take the texts of one connection apart."""
+    """Parse and run the statements of one connection."""
 
     def __init__(self, session: LosingSession) -> None:
         self._session = session
         self._prepared: dict[str, PreparedStatement] = {}
 
     async def run(self, statement: StatementId, text: str) -> TargetReply:
-        """Run one text."""
+        """Run one statement."""
         after = None
         word, _, rest = text.partition(' ')
         if word == 'AFTER':
--- a/tests/standins/statement_group.py
+++ b/tests/standins/statement_group.py
@@ -1,4 +1,4 @@
-"""Stand in for a group of databases that take statement sessions."""
+"""Emulate a group of databases that serve statement sessions."""
 
 from asyncio import Event, Semaphore, Task, create_task, sleep
 from collections.abc import Coroutine, Iterator
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Hold one statement that a target ran, and what it found."""
+    """Hold one statement that a target ran, and its session's state."""
 
     at: float
     target: TargetId
@@ -52,15 +52,15 @@
     text: str
     connection: int
     values: dict[str, str]
-    # The connection was inside a transaction.
+    # The connection was in a transaction.
     is_inside: bool
-    # In whose name the connection was opened.
+    # The customer for whom the connection was opened.
     customer: CustomerId = NOBODY
 
 
 @dataclass(eq=False)
 class StatementTarget:
-    """Keep one database's log and let it fail."""
+    """Hold one database's log and its injected faults."""
 
     name: TargetId
     place: Place
@@ -70,43 +70,43 @@
     held_term: Term = Term(0)
     life: TargetLife = TargetLife(1)
     log: list[Commit] = field(default_factory=lambda: [FIRST_COMMIT])
-    # Commits of the log that reads see.
+    # Number of commits that are visible to reads.
     applied: int = 1
     lag: float = LAG
     work: float = WORK
     is_down: bool = False
     is_leaving: bool = False
-    # Its entry is in the store.
+    # The target's entry is in the store.
     is_listed: bool = True
-    # Statements that are run and never answered.
+    # Number of statements to run without answering them.
     answers_to_lose: int = 0
     connections: int = 0
-    # Connections that were opened in all.
+    # Number of connections opened in total.
     opened: int = 0
     slots: Semaphore = field(default_factory=lambda: Semaphore(SLOTS))
-    # Held back while cleared: the target has frozen.
+    # Cleared while the target is frozen and answers nothing.
     thawed: Event = field(default_factory=Event)
 
     def __post_init__(self) -> None:
-        """Start awake."""
+        """Start without being frozen."""
         self.thawed.set()
 
     @property
     def end(self) -> Point:
-        """Return the end of what was received."""
+        """Return the end of the received log."""
         return self.log[-1].point
 
     @property
     def applied_end(self) -> Point:
-        """Return the end of what reads see."""
+        """Return the end of the log that is visible to reads."""
         return self.log[self.applied - 1].point
 
     def covers(self, point: Point) -> bool:
-        """Return whether what reads see includes a place in the log."""
+        """Return whether a point in the log is visible to reads."""
         return any(commit.point == point for commit in self.log[: self.applied])
 
     def read(self, item: str) -> str:
-        """Return the value of an item as far as it is applied."""
+        """Return the visible value of an item, empty if there is none."""
         for commit in reversed(self.log[: self.applied]):
             for key, value in reversed(commit.writes):
                 if key == item:
@@ -114,13 +114,13 @@
         return ''
 
     def restart_empty(self) -> None:
-        """Start again with nothing of before, in the same role and term."""
+        """Restart with an empty log in the same role and term."""
         self.life = TargetLife(self.life + 1)
         self.log = [FIRST_COMMIT]
         self.applied = 1
 
     def read_status(self) -> LogStatus:
-        """Tell the log's state."""
+        """Return the state of the log."""
         return LogStatus(self.role, self.term, self.end, self.held_term)
 
 
@@ -128,7 +128,7 @@
     """Replicate between the targets of a group and promote them."""
 
     def __init__(self, network: Network) -> None:
-        """Start with no target."""
+        """Start without targets."""
         self.network = network
         self.targets: dict[TargetId, StatementTarget] = {}
         self.runs: list[Run] = []
@@ -138,7 +138,7 @@
         self._tasks: set[Task[None]] = set()
 
     def add(self, target: StatementTarget) -> None:
-        """Let a target take part."""
+        """Add a target to the group."""
         self.targets[target.name] = target
 
     def find_primary(self) -> StatementTarget:
@@ -151,7 +151,7 @@
         return max(leading, key=lambda target: target.term)
 
     def list_replicas(self) -> Iterator[StatementTarget]:
-        """Yield all but the primary."""
+        """Yield all targets but the primary."""
         primary = self.find_primary()
         for target in self.targets.values():
             if target is not primary:
@@ -177,7 +177,7 @@
         order: PromotionOrder,
         limit: Seconds,
     ) -> PromotionAnswer:
-        """Take an order and carry it out some time later."""
+        """Accept an order and promote its target some time later."""
         self.orders.append((read_clock(), order))
         target = self.targets[order.target]
         if target.is_down:
@@ -186,7 +186,7 @@
         return PromotionAnswer.ACCEPTED
 
     def close(self) -> None:
-        """Leave off what is under way."""
+        """Cancel running replications and promotions."""
         for task in tuple(self._tasks):
             task.cancel()
 
@@ -212,7 +212,7 @@
         leader: StatementTarget,
         other: StatementTarget,
     ) -> None:
-        """Have another target follow, within a second of reaching it."""
+        """Make another target a replica, one second after reaching it."""
         await self.network.cross(leader.place, other.place)
         await sleep(1)
         while other.is_down:
--- a/tests/standins/statement_sessions.py
+++ b/tests/standins/statement_sessions.py
@@ -60,7 +60,7 @@
         client: Place,
         customer: CustomerId = NOBODY,
     ) -> None:
-        """Hold one of the database's connections."""
+        """Occupy one of the database's connections."""
         self.point: Point | None = target.applied_end
         self.number = next(_numbers)
         self._group = group
@@ -85,7 +85,7 @@
         text: str,
         after: Point | None = None,
     ) -> TargetReply:
-        """Run a caller's own text under its id."""
+        """Run a caller's statement under its id."""
         if self._is_closed:
             raise TargetGone(self._target.name, 'closed while idle')
         await self._arrive()
@@ -102,7 +102,7 @@
         arguments: str,
         after: Point | None = None,
     ) -> TargetReply:
-        """Run what was prepared on this connection."""
+        """Run a statement prepared on this connection."""
         word = 'WRITE' if prepared.writes else 'READ'
         return await self.run(statement, f'{word} {arguments}', after)
 
@@ -136,36 +136,36 @@
         return await self._answer(self._make_reply((), refusal))
 
     async def roll_back(self) -> TargetReply:
-        """Undo the open transaction."""
+        """Roll back the open transaction."""
         self._writes.clear()
         self._phase = SessionPhase.IDLE
         return await self._order()
 
     async def read_status(self) -> LogStatus | None:
-        """Tell the log's state."""
+        """Return the state of the log."""
         await self._arrive()
         status = self._target.read_status()
         await self.network.cross(self._target.place, self._client)
         return status
 
     async def pause_replication(self, term: Term) -> LogStatus | None:
-        """Stop receiving what comes from lower terms."""
+        """Stop receiving the log of lower terms."""
         self._target.held_term = term
         return await self.read_status()
 
     async def resume_replication(self) -> LogStatus | None:
-        """Receive again."""
+        """Receive the log again."""
         self._target.held_term = Term(0)
         return await self.read_status()
 
     async def demote(self, term: Term) -> LogStatus | None:
-        """Follow if the own term is lower."""
+        """Become a replica if the own term is lower."""
         if self._target.term < term:
             self._target.role = LogRole.REPLICA
         return await self.read_status()
 
     async def close(self) -> None:
-        """Drop the connection; an open transaction is undone."""
+        """Close the connection and roll back an open transaction."""
         if not self._is_closed:
             self._is_closed = True
             self._closed.set()
@@ -267,7 +267,7 @@
 
 
 class LosingSession(MemorySession):
-    """Run statements and lose some of the answers."""
+    """Run statements and lose some answers."""
 
     async def _answer(self, reply: TargetReply) -> TargetReply:
         if reply.signature and self._target.answers_to_lose:
@@ -280,7 +280,7 @@
     """Connect one proxy to all stand-in databases."""
 
     def __init__(self, group: StatementGroup, client: Place) -> None:
-        """Stand at `client`."""
+        """Connect from the place `client`."""
         self._group = group
         self._client = client
 
