--- a/tests/features/specs.feature
+++ b/tests/features/specs.feature
@@ -109,36 +109,36 @@
       | the store gives the key away only when it is absent  | one owner at once                         | 2     |
 
   Scenario Outline: A succession without one of its safeguards
-    An owner has the primary replaced and loses the group to another one, at any
-    point of its way; the store may come back from a copy without its note.
+    An owner replaces the primary and loses the group to the next owner at any
+    point; the store may be restored to an older state without the intent.
     When the succession lacks "<safeguard>"
     Then the search breaks "<property>" in <steps> steps
 
     Examples:
-      | safeguard                                               | property                                        | steps |
-      | an owner looks again before it passes an answer on      | nothing is read from a superseded primary       | 7     |
-      | an owner stops using a primary before it orders another | nothing is acknowledged at a superseded primary | 4     |
-      | an order is noted before it is sent, and seen through   | nothing is acknowledged at a superseded primary | 5     |
-      | an order is dropped with the end of its sender          | tokens of orders never go down                  | 6     |
-      | an owner looks which target leads after it has claimed  | nothing is acknowledged at a superseded primary | 6     |
-      | who claims after a return waits for older orders        | nothing is acknowledged at a superseded primary | 8     |
-      | an owner remembers what it has noted before a return    | nothing is acknowledged at a superseded primary | 6     |
+      | safeguard                                                   | property                                        | steps |
+      | an owner checks its ownership before it returns an answer   | nothing is read from a superseded primary       | 7     |
+      | an owner stops using a primary before it orders a promotion | nothing is acknowledged at a superseded primary | 4     |
+      | an order is recorded before it is sent, and completed later | nothing is acknowledged at a superseded primary | 5     |
+      | an order is discarded when its sender loses the group       | tokens of orders never go down                  | 6     |
+      | an owner queries the targets after its claim                | nothing is acknowledged at a superseded primary | 6     |
+      | a claim after a restore waits for older orders              | nothing is acknowledged at a superseded primary | 8     |
+      | an owner remembers what it recorded before a restore        | nothing is acknowledged at a superseded primary | 6     |
 
   Scenario Outline: A choice of the leader without one of its safeguards
-    Databases fall silent and come back at any moment, and a superseded one says
-    that it leads until it learns better. Owners change, and the store may miss
-    which target leads, or come back from a copy with older notes.
+    Databases stop and resume answering at any time, and a superseded one reports
+    itself as primary until it learns of the newer term. Owners change, and the
+    store may lack the current primary or be restored to an older state.
     When the choice of a leader lacks "<safeguard>"
     Then the search breaks "no write is acknowledged in an older term" in <steps> steps
 
     Examples:
-      | safeguard                                                            | steps |
-      | an owner remembers the newest term that it has served                | 8     |
-      | an owner minds the newest term that the store has noted              | 8     |
-      | a promotion is noted together with the newest term that was served   | 13    |
-      | a target that was to lead and is lost may have led the next term     | 10    |
-      | after a return of the store all targets are heard first              | 9     |
-      | an intent is over once somebody leads in a newer term                | 8     |
+      | safeguard                                                             | steps |
+      | an owner remembers the newest term that it has served                 | 8     |
+      | an owner respects the newest term recorded in the store               | 8     |
+      | a promotion is recorded together with the newest term that was served | 13    |
+      | a lost target of a promotion may have led the next term               | 10    |
+      | after a restore of the store all targets must answer first            | 9     |
+      | an intent is obsolete once a target leads in a newer term             | 8     |
 
   Scenario Outline: An ownership across returns without one of its safeguards
     The store comes back twice, each time from the copy that was made last: an
--- a/tests/specs/leaders_spec.py
+++ b/tests/specs/leaders_spec.py
@@ -1,4 +1,4 @@
-"""Specify which target owners take for the leader when several say so."""
+"""Specify which target owners use when several report being the primary."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -11,16 +11,16 @@
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """Name the safeguards that can be removed."""
 
     SERVED = 'an owner remembers the newest term that it has served'
-    NOTED = 'an owner minds the newest term that the store has noted'
+    RECORDED = 'an owner respects the newest term recorded in the store'
     CARRIED = (
-        'a promotion is noted together with the newest term that was served'
+        'a promotion is recorded together with the newest term that was served'
     )
-    DOUBT = 'a target that was to lead and is lost may have led the next term'
-    ALL_HEARD = 'after a return of the store all targets are heard first'
-    OLD_INTENT = 'an intent is over once somebody leads in a newer term'
+    DOUBT = 'a lost target of a promotion may have led the next term'
+    ALL_ANSWERED = 'after a restore of the store all targets must answer first'
+    OLD_INTENT = 'an intent is obsolete once a target leads in a newer term'
 
 
 class Target(NamedTuple):
@@ -32,44 +32,45 @@
 
 
 class State(NamedTuple):
-    """Hold the databases, and what the owner and the store know."""
+    """Hold the databases and the knowledge of the owner and the store."""
 
     targets: tuple[Target, ...]
-    # The one that the owner uses, -1 for none.
+    # The target that the owner uses, -1 for none.
     uses: int = 0
-    # The newest term that the owner has served, and that the store has noted.
+    # The newest term that the owner has served, and the one recorded in the
+    # store.
     served: int = 1
-    noted: int = 1
-    # A promotion that the store has noted, and whose end it has not; -1: none.
+    recorded: int = 1
+    # The target of a promotion recorded as pending in the store, -1 for none.
     intent: int = -1
-    # The notes are those of a copy that the store came back from.
-    is_copy: bool = False
+    # The store's records are those of an older state that was restored.
+    is_restored: bool = False
     # The newest term of an acknowledged write.
     written: int = 0
-    went_back: bool = False
+    has_older_write: bool = False
 
 
 Step = tuple[str, State]
 
 
 def specify_leaders(removed: Safeguard | None = None) -> Specification:
-    """Return three databases that fall silent and come back at any moment."""
+    """Specify three databases that stop and resume answering at any time."""
     first = State((Target(leads=True), Target(), Target()))
     return Specification(
         'leaders',
         State._fields,
         first,
         _LeaderSteps(removed).list_steps,
-        {'no write is acknowledged in an older term': _goes_on},
+        {'no write is acknowledged in an older term': _has_no_older_write},
     )
 
 
-def _goes_on(fields: dict[str, Any]) -> bool:
-    return not fields['went_back']
+def _has_no_older_write(fields: dict[str, Any]) -> bool:
+    return not fields['has_older_write']
 
 
 class _LeaderSteps:
-    """List what may happen next."""
+    """List the possible steps from a state."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
@@ -78,116 +79,122 @@
         """List all steps from a state."""
         steps = list(self._list_target_steps(state))
         if state.uses < 0:
-            steps += self._list_looks(state)
+            steps += self._list_searches(state)
         else:
             steps += _list_uses(state)
-        # The next owner knows what the store has noted.
+        # The next owner knows only what the store has recorded.
         steps.append(
             ('another owner claims', state._replace(uses=-1, served=0)),
         )
-        if not state.is_copy:
-            steps += _list_returns(state)
+        if not state.is_restored:
+            steps += _list_restores(state)
         elif state.served:
             kept = state._replace(
-                noted=max(state.noted, state.served),
+                recorded=max(state.recorded, state.served),
                 intent=-1,
-                is_copy=False,
+                is_restored=False,
             )
-            steps.append(('the owner notes again what it knows', kept))
+            steps.append(('the owner records its knowledge again', kept))
         return steps
 
     def _list_target_steps(self, state: State) -> Iterator[Step]:
-        for place in TARGETS:
-            target = state.targets[place]
+        for index in TARGETS:
+            target = state.targets[index]
             flipped = target._replace(answers=not target.answers)
             yield (
-                f'{place} falls silent or is back',
-                _put(state, place, flipped),
+                f'{index} stops or resumes answering',
+                _replace_target(state, index, flipped),
             )
-            # One that led learns of a newer leader some time after it is back.
+            # A superseded primary learns of the newer term some time after it
+            # resumes.
             newest = max(other.term for other in state.targets)
             if target.answers and target.term < newest:
-                learnt = target._replace(leads=False, term=newest)
-                yield f'{place} follows', _put(state, place, learnt)
+                demoted = target._replace(leads=False, term=newest)
+                yield f'{index} follows', _replace_target(state, index, demoted)
 
-    def _list_looks(self, state: State) -> Iterator[Step]:
-        heard = [place for place in TARGETS if state.targets[place].answers]
-        if self._may_miss_leader(state, heard):
+    def _list_searches(self, state: State) -> Iterator[Step]:
+        answering = [index for index in TARGETS if state.targets[index].answers]
+        if self._may_miss_primary(state, answering):
             return
         if state.intent >= 0 and not state.served:
-            if not self._is_over(state, heard):
-                yield from self._list_ends(state)
+            if not self._is_obsolete(state, answering):
+                yield from self._list_completions(state)
                 return
-        least = self._find_least(state, heard)
+        min_term = self._find_min_term(state, answering)
         leading = [
-            place
-            for place in heard
-            if state.targets[place].leads and state.targets[place].term >= least
+            index
+            for index in answering
+            if state.targets[index].leads
+            and state.targets[index].term >= min_term
         ]
-        for place in leading:
-            yield from _serve(state, place)
+        for index in leading:
+            yield from _serve(state, index)
         if leading:
             return
-        for place in heard:
-            is_new = state.targets[place].term >= least
-            if is_new or len(heard) == len(TARGETS):
-                yield from self._promote(state, place)
+        for index in answering:
+            is_new = state.targets[index].term >= min_term
+            if is_new or len(answering) == len(TARGETS):
+                yield from self._promote(state, index)
 
-    def _may_miss_leader(self, state: State, heard: list[int]) -> bool:
-        if self._removed is Safeguard.ALL_HEARD:
+    def _may_miss_primary(self, state: State, answering: list[int]) -> bool:
+        if self._removed is Safeguard.ALL_ANSWERED:
             return False
-        is_unsure = state.is_copy and not state.served
-        return is_unsure and len(heard) < len(TARGETS)
+        is_uncertain = state.is_restored and not state.served
+        return is_uncertain and len(answering) < len(TARGETS)
 
-    def _is_over(self, state: State, heard: list[int]) -> bool:
+    def _is_obsolete(self, state: State, answering: list[int]) -> bool:
         if self._removed is Safeguard.OLD_INTENT:
             return False
         leading = [
-            state.targets[place].term
-            for place in heard
-            if state.targets[place].leads
+            state.targets[index].term
+            for index in answering
+            if state.targets[index].leads
         ]
-        return max(leading, default=0) > state.noted
+        return max(leading, default=0) > state.recorded
 
-    def _find_least(self, state: State, heard: list[int]) -> int:
-        terms = [state.targets[place].term for place in heard]
+    def _find_min_term(self, state: State, answering: list[int]) -> int:
+        terms = [state.targets[index].term for index in answering]
         if self._removed is not Safeguard.SERVED:
             terms.append(state.served)
-        if self._removed is not Safeguard.NOTED:
-            terms.append(state.noted)
+        if self._removed is not Safeguard.RECORDED:
+            terms.append(state.recorded)
         return max(terms, default=0)
 
-    def _promote(self, state: State, place: int) -> Iterator[Step]:
+    def _promote(self, state: State, index: int) -> Iterator[Step]:
         term = max(target.term for target in state.targets) + 1
         if term > LAST_TERM:
             return
         carries = self._removed is not Safeguard.CARRIED
         ordered = state._replace(
-            intent=place,
-            noted=max(state.noted, state.served) if carries else state.noted,
+            intent=index,
+            recorded=max(state.recorded, state.served)
+            if carries
+            else state.recorded,
         )
-        promoted = state.targets[place]._replace(leads=True, term=term)
-        yield from _serve(_put(ordered, place, promoted), place)
+        promoted = state.targets[index]._replace(leads=True, term=term)
+        yield from _serve(_replace_target(ordered, index, promoted), index)
 
-    def _list_ends(self, state: State) -> Iterator[Step]:
-        """See the promotion of an earlier owner through."""
+    def _list_completions(self, state: State) -> Iterator[Step]:
+        """List the steps that complete an earlier owner's promotion."""
         target = state.targets[state.intent]
         if target.answers and target.leads:
             yield from _serve(state, state.intent)
         elif not target.answers:
             doubts = self._removed is not Safeguard.DOUBT
-            noted = min(LAST_TERM, state.noted + 1) if doubts else state.noted
-            after = state._replace(intent=-1, noted=noted)
-            yield 'it notes that its target is lost', after
+            recorded = (
+                min(LAST_TERM, state.recorded + 1) if doubts else state.recorded
+            )
+            after = state._replace(intent=-1, recorded=recorded)
+            yield 'it records that the target is lost', after
         else:
             yield from self._promote(state, state.intent)
 
 
-def _list_returns(state: State) -> Iterator[Step]:
-    """List copies: of the first note, alone or with an intent."""
+def _list_restores(state: State) -> Iterator[Step]:
+    """List restores of the first record, with and without an intent."""
     for intent in (-1, *TARGETS):
-        copied = state._replace(noted=1, intent=intent, is_copy=True)
-        yield f'the store comes back with the intent {intent}', copied
+        copied = state._replace(recorded=1, intent=intent, is_restored=True)
+        yield f'the store is restored with the intent {intent}', copied
 
 
 def _list_uses(state: State) -> Iterator[Step]:
@@ -199,25 +206,26 @@
             'it acknowledges a write',
             state._replace(
                 written=max(state.written, target.term),
-                went_back=state.went_back or target.term < state.written,
+                has_older_write=state.has_older_write
+                or target.term < state.written,
             ),
         )
 
 
-def _serve(state: State, place: int) -> Iterator[Step]:
-    """List its use with and without a note, which the store may not take."""
-    term = state.targets[place].term
-    used = state._replace(uses=place, served=max(state.served, term))
-    noted = used._replace(
-        noted=max(state.noted, term),
+def _serve(state: State, index: int) -> Iterator[Step]:
+    """List the use of a target, recorded in the store or not."""
+    term = state.targets[index].term
+    used = state._replace(uses=index, served=max(state.served, term))
+    recorded = used._replace(
+        recorded=max(state.recorded, term),
         intent=-1,
-        is_copy=False,
+        is_restored=False,
     )
-    yield f'it serves {place} and notes it', noted
-    yield f'it serves {place}, unnoted', used
+    yield f'it serves {index} and records it', recorded
+    yield f'it serves {index} without a record', used
 
 
-def _put(state: State, place: int, target: Target) -> State:
+def _replace_target(state: State, index: int, target: Target) -> State:
     targets = list(state.targets)
-    targets[place] = target
+    targets[index] = target
     return state._replace(targets=tuple(targets))
