--- a/src/sedgeshunt/execution/primary_manager.py
+++ b/src/sedgeshunt/execution/primary_manager.py
@@ -277,14 +277,14 @@
     ) -> None:
         """Serve another target that already leads, or promote a replica."""
         self._state.expect(REPLACEMENT_ESTIMATE)
-        leading = self._finder.choose_primary(
+        current = self._finder.choose_primary(
             members,
             statuses,
             self._find_min_term(),
             known_tip,
         )
-        if leading is not None:
-            await self._serve(leading)
+        if current is not None:
+            await self._serve(current)
             return
         await self._promote(members, statuses, acknowledged)
 
