--- a/src/sedgeshunt/explanation.py
+++ b/src/sedgeshunt/explanation.py
@@ -121,17 +121,13 @@
             chosen=next(iter(ranking.eligible), 'none'),
             targets=[
                 TargetLine(
-                    target=str(assessment.target),
-                    eligible=assessment.rule is None,
-                    rule=''
-                    if assessment.rule is None
-                    else assessment.rule.value,
-                    detail=assessment.detail,
-                    running=service.services[
-                        assessment.target
-                    ].admission.running,
-                    queued=service.services[assessment.target].admission.queued,
+                    target=str(each.target),
+                    eligible=each.rule is None,
+                    rule='' if each.rule is None else each.rule.value,
+                    detail=each.detail,
+                    running=service.services[each.target].admission.running,
+                    queued=service.services[each.target].admission.queued,
                 )
-                for assessment in ranking.assessments
+                for each in ranking.assessments
             ],
         )
--- a/src/sedgeshunt/groups/failure_detector.py
+++ b/src/sedgeshunt/groups/failure_detector.py
@@ -33,7 +33,7 @@
 
 # Peers may still get answers from a primary that this proxy can't reach.
 REFUTABLE_CAUSES = frozenset(
-    (SuspicionCause.REFUSED, SuspicionCause.SILENT, SuspicionCause.MISSING)
+    (SuspicionCause.REFUSED, SuspicionCause.SILENT, SuspicionCause.MISSING),
 )
 
 
@@ -86,7 +86,10 @@
         if read_clock() - since <= SUSPICION_TIME:
             return None
         return Suspicion(
-            SuspicionCause.MISSING, self._view.newest_term, None, since
+            SuspicionCause.MISSING,
+            self._view.newest_term,
+            None,
+            since,
         )
 
     def _check_silence(self, primary: TargetId) -> Suspicion | None:
--- a/src/sedgeshunt/groups/liveness.py
+++ b/src/sedgeshunt/groups/liveness.py
@@ -28,7 +28,9 @@
         self._refused_again_at: Monotonic | None = None
 
     def record_answer(
-        self, observation: Observation, resumed_at: Monotonic
+        self,
+        observation: Observation,
+        resumed_at: Monotonic,
     ) -> None:
         """Record an answer."""
         self.is_connected = True
--- a/src/sedgeshunt/groups/members.py
+++ b/src/sedgeshunt/groups/members.py
@@ -48,7 +48,8 @@
         """Record an answer unless it is outdated; return a broken invariant."""
         target = observation.status.target
         self._liveness[target].record_answer(
-            observation, self._pauses.resumed_at
+            observation,
+            self._pauses.resumed_at,
         )
         earlier = self._latest.get(target)
         if earlier is None:
@@ -70,7 +71,9 @@
         liveness = self._liveness.get(target)
         if liveness is not None:
             liveness.record_disconnect(
-                read_clock(), self._pauses.resumed_at, refused
+                read_clock(),
+                self._pauses.resumed_at,
+                refused,
             )
 
     def get_status(self, target: TargetId) -> TargetStatus | None:
--- a/src/sedgeshunt/groups/promoter.py
+++ b/src/sedgeshunt/groups/promoter.py
@@ -135,7 +135,9 @@
         outcome = f'{chosen.target} leads'
         self._decide(DecisionKind.PROMOTED, suspicion, term, outcome)
         await repoint_replicas(
-            tuple(self._monitors.values()), term, chosen.target
+            tuple(self._monitors.values()),
+            term,
+            chosen.target,
         )
         return chosen.target not in self.detector.leaving
 
--- a/src/sedgeshunt/groups/successors.py
+++ b/src/sedgeshunt/groups/successors.py
@@ -22,7 +22,8 @@
     # to a second. If its successor is lost meanwhile, it is the only one that
     # does, but its log lacks the writes made since.
     newest = max(
-        (status.term for status in statuses.values()), default=min_term
+        (status.term for status in statuses.values()),
+        default=min_term,
     )
     for target, status in statuses.items():
         if status.role is not LogRole.PRIMARY:
--- a/src/sedgeshunt/groups/supervisor.py
+++ b/src/sedgeshunt/groups/supervisor.py
@@ -93,7 +93,8 @@
         self._start_monitors()
 
     def _find_removed(
-        self, addresses: dict[TargetId, Address]
+        self,
+        addresses: dict[TargetId, Address],
     ) -> list[TargetId]:
         return [
             name
--- a/src/sedgeshunt/groups/view.py
+++ b/src/sedgeshunt/groups/view.py
@@ -1,4 +1,4 @@
-"""Hold what one proxy knows of one group."""
+"""The state of one group as known to one proxy."""
 
 from collections.abc import Sequence
 
@@ -79,7 +79,9 @@
             self.quorum.update(has_new_term=True)
 
     def record_disconnect(
-        self, target: TargetId, refused: bool = False
+        self,
+        target: TargetId,
+        refused: bool = False,
     ) -> None:
         """Record that a control connection was lost or refused."""
         self.states.record_disconnect(target, refused)
--- a/src/sedgeshunt/groups/watermarks.py
+++ b/src/sedgeshunt/groups/watermarks.py
@@ -8,7 +8,7 @@
 from sedgeshunt.identifiers import Monotonic, Seconds
 
 # Older data can't be proven to be within an accepted age.
-MAX_AGE = Seconds(600)
+MAX_WATERMARK_AGE = Seconds(600)
 # Number of watermarks above which the series is thinned out.
 MAX_MARKS = 512
 # Minimum distance of two watermarks as a share of their age. Dropping one
@@ -63,7 +63,7 @@
             # Dropped only if its neighbours are close enough to each other.
             if kept[-1].moment - older.moment > SPACING_SHARE * age:
                 kept.append(mark)
-        if newest.moment - self._marks[0].moment <= MAX_AGE:
+        if newest.moment - self._marks[0].moment <= MAX_WATERMARK_AGE:
             kept.append(self._marks[0])
         self._marks = list(reversed(kept))
 
--- a/src/sedgeshunt/requests/target_service.py
+++ b/src/sedgeshunt/requests/target_service.py
@@ -109,7 +109,8 @@
                 permit.cancel()
             else:
                 self.health.record_outcome(
-                    measured.read_spent(), ok=measured.ok
+                    measured.read_spent(),
+                    ok=measured.ok,
                 )
         return self._name_target(outcome)
 
--- a/src/sedgeshunt/routing/__init__.py
+++ b/src/sedgeshunt/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choose the target for a read and say why."""
+"""Choose the target for a read and explain the choice."""
--- a/src/sedgeshunt/routing/assessments.py
+++ b/src/sedgeshunt/routing/assessments.py
@@ -1,4 +1,4 @@
-"""Say of one target whether it may serve a read, and why."""
+"""Define whether a target may serve a read, and why."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class ExclusionRule(Enum):
-    """Name the rules that keep a read from a target."""
+    """Rules that exclude a target from serving a read."""
 
     LEAVING = 'leaving'
     NOT_SELECTED = 'not-selected'
@@ -22,15 +22,15 @@
     NOT_COVERED = 'not-covered'
     TOO_STALE = 'too-stale'
     EJECTED = 'ejected'
-    # The primary may serve, but a replica comes first.
+    # The primary may serve the read, but a replica is preferred.
     LEFT_TO_REPLICAS = 'left-to-replicas'
 
 
 class TargetFacts(Struct, frozen=True):
-    """Hold what was known of a target when it was judged."""
+    """The known state of a target when it was assessed."""
 
-    # A Struct is made in a fraction of a dataclass's time, and one is made
-    # for each target on the path of every read.
+    # A Struct, as it is created much faster than a dataclass, and one is
+    # created for each target whenever a read is routed.
     is_near: bool
     is_primary: bool = False
     need: Point | None = None
@@ -42,18 +42,18 @@
 
 
 class Assessment(Struct, frozen=True):
-    """Hold the rule that a target fell under; None means it may serve."""
+    """The rule that excludes a target; None means that it is eligible."""
 
     target: TargetId
     rule: ExclusionRule | None
     facts: TargetFacts
-    # An ejected target that gets one read, to see whether it is well again.
+    # Whether this is an ejected target that gets one read as a probe.
     is_probe: bool = False
 
     @property
     def detail(self) -> str:
         """Explain the assessment to an operator."""
-        # Worded only when asked for: a read is routed far more often.
+        # Composed on demand, as most assessments are never explained.
         if self.rule is None:
             return _explain_eligible(self.facts, is_probe=self.is_probe)
         return _TEXTS[self.rule](self.facts)
@@ -62,33 +62,33 @@
 def _explain_eligible(facts: TargetFacts, *, is_probe: bool) -> str:
     place = 'own' if facts.is_near else 'another'
     parts = [f'may serve from {place} availability zone']
-    parts.append(_show_age(facts.age))
-    parts.append(f'expected wait {_show(facts.wait)}')
+    parts.append(_format_age(facts.age))
+    parts.append(f'expected wait {_format_span(facts.wait)}')
     if is_probe:
         parts.append('asked again after an ejection')
     return ', '.join(parts)
 
 
 def _explain_not_covered(facts: TargetFacts) -> str:
-    end = _show_point(facts.log_end)
-    need = _show_point(facts.need)
+    end = _format_point(facts.log_end)
+    need = _format_point(facts.need)
     return f'its log ends at {end}, the session has to see {need}'
 
 
 def _explain_stale(facts: TargetFacts) -> str:
-    accepted = _show(facts.accepted_age or Seconds(0))
-    return f'{_show_age(facts.age)}, the read accepts {accepted}'
+    accepted = _format_span(facts.accepted_age or Seconds(0))
+    return f'{_format_age(facts.age)}, the read accepts {accepted}'
 
 
-def _show_age(age: Seconds | None) -> str:
-    return 'no provable age' if age is None else f'age {_show(age)}'
+def _format_age(age: Seconds | None) -> str:
+    return 'no provable age' if age is None else f'age {_format_span(age)}'
 
 
-def _show(span: Seconds) -> str:
+def _format_span(span: Seconds) -> str:
     return f'{span * MILLISECONDS:.0f} ms'
 
 
-def _show_point(point: Point | None) -> str:
+def _format_point(point: Point | None) -> str:
     return '?' if point is None else f'{point.term}:{point.position}'
 
 
--- a/src/sedgeshunt/routing/assessor.py
+++ b/src/sedgeshunt/routing/assessor.py
@@ -1,4 +1,4 @@
-"""TargetAssessor the targets of a group for one read."""
+"""Assess the targets of a group for one read."""
 
 from msgspec import Struct
 from result import Ok
@@ -18,11 +18,11 @@
 
 
 class ReadNeed(Struct, frozen=True):
-    """Say what a read has to see."""
+    """The data that a read must see."""
 
-    # Always demanded: what the session wrote or has to see.
+    # Always required: the point that the session wrote or must see.
     point: Point | None
-    # Demanded besides: data that is provably no older than this.
+    # Required in addition: data that is provably no older than this.
     accepted_age: Seconds | None
 
 
@@ -32,9 +32,9 @@
     need: ReadNeed,
     now: Monotonic,
 ) -> bool:
-    """Tell whether `target` holds all that the read has to see."""
-    # The point is demanded with an accepted age too: a caller that has just
-    # written must not miss its entry because older data would do.
+    """Return whether `target` has the data that the read must see."""
+    # The point is required in addition to an accepted age: a session must see
+    # its own writes even if the read accepts older data.
     if need.point is not None and not view.covers(target, need.point):
         return False
     if need.accepted_age is None:
@@ -44,7 +44,7 @@
 
 
 class TargetAssessor(Struct, frozen=True):
-    """Hold one read's demands and what is known while it is routed."""
+    """Assesses targets against the requirements of one read."""
 
     zone: ZoneId
     view: FreshnessView
@@ -55,7 +55,7 @@
     may_probe: bool
 
     def assess(self, target: Target, wait: Seconds) -> Assessment:
-        """Return the first rule that keeps the read from `target`."""
+        """Return the assessment with the first rule that excludes `target`."""
         if target.is_leaving():
             return self._exclude(target, ExclusionRule.LEAVING)
         if not self._selects(target):
@@ -99,7 +99,9 @@
         return selector.ok_value.matches(list_labels(target))
 
     def _find_rule(
-        self, target: TargetId, facts: TargetFacts
+        self,
+        target: TargetId,
+        facts: TargetFacts,
     ) -> ExclusionRule | None:
         if not self.view.is_responsive(target, self.now):
             return ExclusionRule.SILENT
@@ -111,10 +113,12 @@
         return rule
 
     def _find_unmet(
-        self, target: TargetId, facts: TargetFacts
+        self,
+        target: TargetId,
+        facts: TargetFacts,
     ) -> ExclusionRule | None:
-        # The point is demanded with an accepted age too: a caller that has
-        # just written must not miss its entry because older data would do.
+        # The point is required in addition to an accepted age: a session must
+        # see its own writes even if the read accepts older data.
         point = facts.need
         if point is not None and not self.view.covers(target, point):
             return ExclusionRule.NOT_COVERED
@@ -125,8 +129,9 @@
         return None if is_proven else ExclusionRule.TOO_STALE
 
     def _is_primary(self, status: TargetStatus) -> bool:
-        # A superseded primary still calls itself one. It serves like a
-        # replica, by what it provably holds, and comes last like a primary.
+        # A superseded primary still reports itself as primary. It may serve
+        # reads like a replica, as far as its data is proven, but is ranked
+        # last like a primary.
         if status.role is Role.PRIMARY:
             return True
         return status.target == self.view.get_primary()
--- a/src/sedgeshunt/routing/choice.py
+++ b/src/sedgeshunt/routing/choice.py
@@ -14,24 +14,24 @@
 
 __all__ = ('Ranking', 'ReadNeed', 'ReadRouter', 'ExclusionRule', 'Assessment')
 
-# A target in another availability zone comes first only if the own one is
-# busier by more than this wait.
-ZONE_COST = Seconds(0.004)
-# Waits and ages that differ by less are alike.
+# Wait added to targets in other availability zones: one is preferred only if
+# the expected wait in the own zone is longer by more than this.
+OTHER_ZONE_COST = Seconds(0.004)
+# Waits and ages are compared in steps of this size.
 WAIT_STEP = Seconds(0.002)
 AGE_STEP = Seconds(0.1)
 UNKNOWN_AGE = Seconds(3600)
 
 
 class Ranking(Struct, frozen=True):
-    """Hold the targets to try, best first, and a assessment on each."""
+    """Targets to try, best first, and the assessments of all targets."""
 
-    # Ejected targets are in it only when there is nobody else.
+    # Contains ejected targets only if no other target is eligible.
     eligible: tuple[TargetId, ...]
     assessments: tuple[Assessment, ...]
-    # The replica that is nearest to what no replica can serve yet.
+    # The replica with the highest log end if no replica can serve the read.
     catch_up_candidate: TargetId | None
-    # The first is a replica in good health, not a probe nor the primary.
+    # Whether the first target is a healthy replica, not a probe or primary.
     is_replica_first: bool = False
 
     def describe(self) -> str:
@@ -53,7 +53,7 @@
         health: GroupHealth,
         loads: Mapping[TargetId, Load],
     ) -> None:
-        """Read each target's load from `loads` at the moment of ranking."""
+        """Read each target's load from `loads` when ranking."""
         self.health = health
         self._zone = zone
         self._loads = loads
@@ -68,7 +68,10 @@
         *,
         may_probe: bool = True,
     ) -> Ranking:
-        """Rank replicas before the primary; explaining claims no probe."""
+        """Rank the targets for a read, replicas before the primary.
+
+        Without `may_probe`, as for an explanation, no probe is claimed.
+        """
         assessor = TargetAssessor(
             self._zone,
             view,
@@ -90,16 +93,18 @@
 
 
 def _rank(assessments: Sequence[Assessment]) -> Ranking:
-    able = [assessment for assessment in assessments if assessment.rule is None]
+    eligible = [
+        assessment for assessment in assessments if assessment.rule is None
+    ]
     replicas = [
-        assessment for assessment in able if not assessment.facts.is_primary
+        assessment for assessment in eligible if not assessment.facts.is_primary
     ]
     primaries = [
-        assessment for assessment in able if assessment.facts.is_primary
+        assessment for assessment in eligible if assessment.facts.is_primary
     ]
     order = [*_sort(replicas), *_sort(primaries)]
-    # Ejection is a guess. With nobody else left a target that may be slow is
-    # better for the caller than no answer.
+    # An ejected target may still work. If no other is left, a slow answer is
+    # better for the caller than none.
     order = order or _sort(
         [
             assessment
@@ -110,7 +115,7 @@
     return Ranking(
         eligible=tuple(assessment.target for assessment in order),
         assessments=tuple(
-            _leave_to_replicas(assessment) if replicas else assessment
+            _mark_left_to_replicas(assessment) if replicas else assessment
             for assessment in assessments
         ),
         catch_up_candidate=None if replicas else _find_nearest(assessments),
@@ -126,9 +131,9 @@
 
 def _compute_cost(assessment: Assessment) -> tuple[bool, int, int, float]:
     facts = assessment.facts
-    # A probe goes first, or a readmitted target would never be asked while
-    # others are near and idle.
-    distance = 0 if facts.is_near else ZONE_COST
+    # A probe comes first. Otherwise an ejected target would never be probed
+    # while other targets are in the same zone and idle.
+    distance = 0 if facts.is_near else OTHER_ZONE_COST
     age = UNKNOWN_AGE if facts.age is None else facts.age
     return (
         not assessment.is_probe,
@@ -138,11 +143,13 @@
     )
 
 
-def _leave_to_replicas(assessment: Assessment) -> Assessment:
+def _mark_left_to_replicas(assessment: Assessment) -> Assessment:
     if assessment.rule is not None or not assessment.facts.is_primary:
         return assessment
     return Assessment(
-        assessment.target, ExclusionRule.LEFT_TO_REPLICAS, assessment.facts
+        assessment.target,
+        ExclusionRule.LEFT_TO_REPLICAS,
+        assessment.facts,
     )
 
 
--- a/src/sedgeshunt/routing/freshness_history.py
+++ b/src/sedgeshunt/routing/freshness_history.py
@@ -1,48 +1,48 @@
-"""Prove how old a replica's log may be, without asking the replica."""
+"""Prove the maximum age of a replica's data without asking the replica."""
 
 from collections import deque
 
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import Boottime, Seconds
 
-# Log ends noted at most this often; more would prove hardly more.
-SAMPLE_EVERY = Seconds(0.05)
-# Longest age that a route may ask for with any use; older ones are dropped.
-LONGEST_AGE = Seconds(10)
+# Minimum time between samples; more samples would hardly be more precise.
+MIN_SAMPLE_INTERVAL = Seconds(0.05)
+# Longest age that can be proven; older samples are dropped.
+MAX_SAMPLE_AGE = Seconds(10)
 
 
 class FreshnessHistory:
-    """Remember which log end covered all commits before which moment."""
+    """Log ends of the primary, each with the time it was requested."""
 
-    # A log end that the primary showed, to a question asked at a moment,
-    # covers every commit that was acknowledged before. A replica that has it
-    # is therefore no older than that moment. The oldest one that still proves
-    # an age is the one that most replicas have.
+    # A log end of the primary covers all commits acknowledged before it was
+    # requested. The data of a replica that has it is therefore no older than
+    # the request. Of the samples that prove an age, the oldest is used, as the
+    # most replicas have it.
 
     def __init__(self) -> None:
-        """Prove nothing yet."""
+        """Start without samples."""
         self._samples: deque[tuple[Boottime, Point]] = deque()
 
     @property
     def newest(self) -> Point | None:
-        """Return the newest log end known."""
+        """Return the newest known log end."""
         return self._samples[-1][1] if self._samples else None
 
-    def record(self, asked_at: Boottime, tip: Point) -> None:
-        """Take in a log end and when the question for it was asked."""
+    def record(self, asked_at: Boottime, log_end: Point) -> None:
+        """Record a log end and when it was requested."""
         samples = self._samples
-        if samples and samples[-1][1].term > tip.term:
+        if samples and samples[-1][1].term > log_end.term:
             return
-        # After a change of primary the former one's last commits may have
-        # been dropped, and no replica would ever have them.
-        if samples and samples[-1][1].term < tip.term:
+        # After a failover, the last commits of the former primary may have
+        # been dropped, so that no replica would ever cover them.
+        if samples and samples[-1][1].term < log_end.term:
             samples.clear()
-        if samples and asked_at < samples[-1][0] + SAMPLE_EVERY:
+        if samples and asked_at < samples[-1][0] + MIN_SAMPLE_INTERVAL:
             return
-        if samples and tip < samples[-1][1]:
+        if samples and log_end < samples[-1][1]:
             return
-        samples.append((asked_at, tip))
-        while samples[0][0] < asked_at - LONGEST_AGE:
+        samples.append((asked_at, log_end))
+        while samples[0][0] < asked_at - MAX_SAMPLE_AGE:
             samples.popleft()
 
     def find_covering(
@@ -52,18 +52,23 @@
     ) -> Point | None:
         """Return a log end that covers all commits before `since`.
 
-        It covers the session's commit `after` too. None: nothing is proved.
+        It also covers the session's commit `after`. Return None if no sample
+        is recent enough.
         """
         newest = self.newest
         if newest is None:
             return None
         covering = next(
-            (tip for asked_at, tip in self._samples if asked_at >= since),
+            (
+                log_end
+                for asked_at, log_end in self._samples
+                if asked_at >= since
+            ),
             None,
         )
         if covering is None or after is None:
             return covering
-        # The newest primary's log holds what was kept of earlier terms.
+        # The log of the newest primary has all kept commits of earlier terms.
         if after.term < newest.term:
             return covering
         return max(covering, after)
--- a/src/sedgeshunt/routing/recent_choices.py
+++ b/src/sedgeshunt/routing/recent_choices.py
@@ -1,4 +1,4 @@
-"""Remember for a moment which replica a route's last read was given."""
+"""Cache the replica chosen for the latest read of each traffic class."""
 
 from msgspec import Struct
 
@@ -10,9 +10,9 @@
 )
 from sedgeshunt.routing.choice import Ranking
 
-# Long enough for the reads of a burst, short enough that a nearer, fresher
-# or idler replica is soon found again.
-REMEMBERED_FOR = Seconds(0.01)
+# Long enough for the reads of a burst, short enough that a closer, fresher or
+# less busy replica is soon chosen.
+MAX_CHOICE_AGE = Seconds(0.01)
 
 
 class _Choice(Struct, frozen=True):
@@ -21,14 +21,14 @@
 
 
 class RecentChoices:
-    """Hold the latest choice of each traffic class."""
+    """The latest choice of each traffic class."""
 
     # Ranking all targets for each read costs more than the rest of its
-    # routing. The choice of a moment ago is as good while that replica has
-    # room and covers what this read needs, which the caller checks anew.
+    # routing. A recent choice is as good while the replica has capacity and
+    # covers the needs of the read, both of which the calling code checks.
 
     def __init__(self) -> None:
-        """Remember nothing yet."""
+        """Start without choices."""
         self._choices: dict[TrafficClass, _Choice] = {}
 
     def record(
@@ -37,14 +37,14 @@
         ranking: Ranking,
         now: Monotonic,
     ) -> None:
-        """Remember the first of a ranking if it is an ordinary replica."""
+        """Record the first target of a ranking if it is a healthy replica."""
         if (
             ranking.catch_up_candidate is not None
             or not ranking.is_replica_first
         ):
             self._choices.pop(traffic_class, None)
             return
-        until = Monotonic(now + REMEMBERED_FOR)
+        until = Monotonic(now + MAX_CHOICE_AGE)
         self._choices[traffic_class] = _Choice(ranking.eligible[0], until)
 
     def find(
@@ -52,7 +52,7 @@
         traffic_class: TrafficClass,
         now: Monotonic,
     ) -> TargetId | None:
-        """Return the remembered replica while it counts."""
+        """Return the replica chosen last, None if the choice is too old."""
         choice = self._choices.get(traffic_class)
         if choice is None or now >= choice.until:
             return None
--- a/src/sedgeshunt/routing/views.py
+++ b/src/sedgeshunt/routing/views.py
@@ -1,4 +1,4 @@
-"""Define what routing asks of a group's view and of a target's load."""
+"""Define the interfaces of a group's view and a target's load."""
 
 from typing import Protocol
 
@@ -8,33 +8,33 @@
 
 
 class FreshnessView(Protocol):
-    """Tell what is known of a group's targets."""
+    """The known state of a group's targets."""
 
     def get_status(self, target: TargetId) -> TargetStatus | None:
         """Return the latest answer of `target`."""
 
     def get_primary(self) -> TargetId | None:
-        """Return who leads in the newest term."""
+        """Return the responsive primary of the newest term."""
 
     def is_responsive(self, target: TargetId, now: Monotonic) -> bool:
-        """Tell whether `target` answers, as far as is known."""
+        """Return whether `target` is connected and not suspected."""
 
     def covers(self, target: TargetId, point: Point) -> bool:
-        """Tell whether the target's log includes `point`."""
+        """Return whether the log of `target` includes `point`."""
 
     def measure_age(self, target: TargetId, now: Monotonic) -> Seconds | None:
-        """Return how old the target's data is at most, None if unproven."""
+        """Return the maximum age of the target's data, None if unproven."""
 
 
 class WatchableView(FreshnessView, Protocol):
-    """Tell also when something was learnt."""
+    """A view that also signals changes."""
 
     async def wait_change(self, deadline: Monotonic) -> bool:
-        """Tell whether anything was learnt by the deadline."""
+        """Return whether the view changed by the deadline."""
 
 
 class Load(Protocol):
-    """Tell how busy one target is."""
+    """The load of one target."""
 
     def expected_wait(self, now: Monotonic) -> Seconds:
-        """Return how long a statement would wait for its turn."""
+        """Return how long a new statement would be queued."""
--- a/tests/features/steps/routing_steps.py
+++ b/tests/features/steps/routing_steps.py
@@ -42,7 +42,7 @@
 
 @dataclass
 class KnownTarget(Load):
-    """Hold what a test says of one target."""
+    """State of one target as set by a test."""
 
     status: TargetStatus | None
     age: float | None
@@ -54,7 +54,7 @@
 
 
 class KnownView(FreshnessView):
-    """Answer from what a test says."""
+    """A view of the states set by a test."""
 
     def __init__(self) -> None:
         self.known: dict[TargetId, KnownTarget] = {}
@@ -78,7 +78,7 @@
 
 
 class RoutingBench:
-    """Hold a router and all that it looks at."""
+    """A router with its view, health and targets."""
 
     def __init__(self, zone: str) -> None:
         self.loop = EventLoop()
@@ -157,7 +157,7 @@
     else:
         spans = {'age': 'age', 'wait': 'wait'}
         blanks = {
-            'untold': ('status', None),
+            'unknown': ('status', None),
             'silent': ('is_responsive', False),
         }
         blanks['unproven'] = ('age', None)
@@ -217,8 +217,8 @@
     check_order(context, order)
 
 
-@then('the verdict on "{target}" is "{rule}" and tells "{detail}"')
-def check_verdict(context: Any, target: str, rule: str, detail: str) -> None:
+@then('the assessment of "{target}" is "{rule}" with "{detail}"')
+def check_assessment(context: Any, target: str, rule: str, detail: str) -> None:
     assessments = {each.target: each for each in context.ranking.assessments}
     assert assessments[target].rule.value == rule, assessments[target]
     assert detail in assessments[target].detail, assessments[target].detail
@@ -226,7 +226,7 @@
 
 
 @then('"{target}" may catch up')
-def check_nearest(context: Any, target: str) -> None:
+def check_catch_up_candidate(context: Any, target: str) -> None:
     assert context.ranking.catch_up_candidate == target
 
 
--- a/tests/features/steps/watermarks_steps.py
+++ b/tests/features/steps/watermarks_steps.py
@@ -10,7 +10,11 @@
 from sedgeshunt.groups.points import Point
 from sedgeshunt.groups.quorum import Watermark
 from sedgeshunt.groups.status import Observation, Role, TargetStatus
-from sedgeshunt.groups.watermarks import MAX_AGE, MAX_MARKS, WatermarkSeries
+from sedgeshunt.groups.watermarks import (
+    MAX_WATERMARK_AGE,
+    MAX_MARKS,
+    WatermarkSeries,
+)
 from sedgeshunt.identifiers import Monotonic, Position, TargetId, Term
 
 MILLISECONDS = 1000
@@ -133,7 +137,7 @@
         age = (count - 1) / 100 - mark.moment
         assert back / 100 <= age <= 1.1 * back / 100, (back, age)
     assert series.find_covered(Point(Term(1), Position(-1))) is None
-    assert count / 100 < MAX_AGE
+    assert count / 100 < MAX_WATERMARK_AGE
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
