--- a/src/sedgeshunt/connections/seats.py
+++ b/src/sedgeshunt/connections/seats.py
@@ -58,7 +58,7 @@
             requested_at = read_clock()
             try:
                 async with timeout(CALL_TIMEOUT):
-                    await self._step(requested_at)
+                    await self._renew(requested_at)
             except (PlatformUnavailable, AnswerLost) as error:
                 self._note_outage(error.format_message(), was_seated=was_seated)
             except TimeoutError:
@@ -87,22 +87,22 @@
         # tries keeps the service below its rate limits; only the share is late.
         return max(RETRY_INTERVAL, self.fleet / FLEET_TRIES_PER_SECOND)
 
-    async def _step(self, requested_at: Monotonic) -> None:
+    async def _renew(self, requested_at: Monotonic) -> None:
         if self._lease is None:
             self._lease = await self._platform.grant_lease(LEASE_TTL)
         elif not await self._platform.keep_lease(self._lease):
-            self._lose('the lease lapsed')
+            self._drop_seat('the lease lapsed')
             return
         self._extend_validity(requested_at)
         if self.number is None:
-            await self._take(self._lease)
+            await self._claim_free(self._lease)
 
     def _extend_validity(self, requested_at: Monotonic) -> None:
         # Counted from before the request, as the service may renew the lease
         # at any moment after it but never before.
         self._valid_until = Monotonic(requested_at + LEASE_TTL - LAPSE_MARGIN)
 
-    async def _take(self, lease: int) -> None:
+    async def _claim_free(self, lease: int) -> None:
         self._is_waiting = False
         listing = await self._platform.list_prefix(PREFIX)
         taken = {pair.key: pair.value.decode() for pair in listing.pairs}
@@ -126,7 +126,7 @@
         )
         return taken.succeeded
 
-    def _lose(self, reason: str) -> None:
+    def _drop_seat(self, reason: str) -> None:
         self._lease = None
         if self.number is None:
             return
@@ -140,7 +140,7 @@
         if self.number is None:
             self._lease = None
         if was_seated and not self.is_seated():
-            self._lose(reason)
+            self._drop_seat(reason)
 
     def _record_decision(self, kind: DecisionKind, reason: str) -> None:
         self._decisions.record(Decision(kind, reasons={'why': reason}))
--- a/src/sedgeshunt/connections/session_pool.py
+++ b/src/sedgeshunt/connections/session_pool.py
@@ -273,7 +273,7 @@
             # could both find room for one and exceed the target's limit.
             self._in_transactions += is_transaction
             try:
-                session = await self._take(values, customer)
+                session = await self._take_or_connect(values, customer)
             except TargetBusy:
                 self._in_transactions -= is_transaction
                 if not self._open:
@@ -304,7 +304,7 @@
         if self._is_closed:
             raise self._make_closed_error()
 
-    async def _take(
+    async def _take_or_connect(
         self,
         values: Mapping[str, str],
         customer: CustomerId,
--- a/src/sedgeshunt/connections/wait_queue.py
+++ b/src/sedgeshunt/connections/wait_queue.py
@@ -59,7 +59,7 @@
             await future
         except CancelledError:
             if not future.done() or future.cancelled():
-                self._forget(waiter)
+                self._remove(waiter)
                 raise
             # The caller was woken but has been cancelled, so the next one is
             # woken instead of waiting in vain.
@@ -75,7 +75,7 @@
         )
         chosen = min(ready, key=_get_priority, default=None)
         if chosen is not None:
-            self._forget(chosen)
+            self._remove(chosen)
             chosen.future.set_result(None)
 
     def wake_all(self) -> None:
@@ -85,7 +85,7 @@
             if not future.done():
                 future.set_result(None)
 
-    def _forget(self, waiter: _Waiter) -> None:
+    def _remove(self, waiter: _Waiter) -> None:
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
--- a/src/sedgeshunt/requests/outcome.py
+++ b/src/sedgeshunt/requests/outcome.py
@@ -63,7 +63,7 @@
     target: TargetId | None = None
 
     def describe(self) -> str:
-        """Tell the caller what happened and what to do next."""
+        """Return the message for the caller, with the advised next step."""
         wait = int(self.retry_after * 1000)
         return f'not run: {self.reason}; come back in {wait} ms'
 
@@ -77,7 +77,7 @@
     target: TargetId | None = None
 
     def describe(self) -> str:
-        """Tell the caller what happened and what to do next."""
+        """Return the message for the caller, with the advised next step."""
         return (
             f'outcome unknown: {self.reason}; '
             + 'check with a read before asking again, or ask again with '
--- a/src/sedgeshunt/requests/request_ids.py
+++ b/src/sedgeshunt/requests/request_ids.py
@@ -137,12 +137,14 @@
         # The insert blocks on an open transaction with the same id, so its
         # success proves that the first transaction was rolled back.
         probe = await self.record(target, connection, request, Answer())
-        undone = await target.run_on(connection, request, 'ROLLBACK')
-        if isinstance(undone, Err):
+        rolled_back = await target.run_on(connection, request, 'ROLLBACK')
+        if isinstance(rolled_back, Err):
             connection.invalidate()
             return Err(unknown)
         if isinstance(probe, Ok):
-            return Err(await self._prove_undone(target, request, unknown, term))
+            return Err(
+                await self._confirm_rollback(target, request, unknown, term)
+            )
         if request.request_id is None:
             return Err(unknown)
         stored = await self.find_result(
@@ -153,7 +155,7 @@
         )
         return Err(unknown) if stored is None else stored
 
-    async def _prove_undone(
+    async def _confirm_rollback(
         self,
         target: TargetService,
         request: Request,
--- a/src/sedgeshunt/requests/statement_checks.py
+++ b/src/sedgeshunt/requests/statement_checks.py
@@ -107,12 +107,12 @@
 
 def strip_quoted(sql: str) -> str:
     """Replace literals and quoted names by '' and remove comments."""
-    return _QUOTED.sub(_empty, sql)
+    return _QUOTED.sub(_blank_literal, sql)
 
 
 def drop_comments(sql: str) -> str:
     """Remove comments but keep literals and quoted names."""
-    return _QUOTED.sub(_drop, sql)
+    return _QUOTED.sub(_remove_comment, sql)
 
 
 def _find_in_code(code: str, first_word: str) -> str:
@@ -123,9 +123,9 @@
     return ''
 
 
-def _empty(quoted: Match[str]) -> str:
+def _blank_literal(quoted: Match[str]) -> str:
     return "''" if quoted[0][0] in '\'"`' else ' '
 
 
-def _drop(quoted: Match[str]) -> str:
+def _remove_comment(quoted: Match[str]) -> str:
     return quoted[0] if quoted[0][0] in '\'"`' else ' '
--- a/src/sedgeshunt/requests/statements.py
+++ b/src/sedgeshunt/requests/statements.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Statement:
+class StatementInspection:
     """Hold the kind of a statement and why it is refused, if it is."""
 
     kind: StatementKind
@@ -79,7 +79,7 @@
     single_refusal: str = ''
 
 
-_cache: dict[str, Statement] = {}
+_cache: dict[str, StatementInspection] = {}
 
 
 def classify_statement(sql: str) -> StatementKind:
@@ -102,7 +102,7 @@
     return Ok(statement.kind)
 
 
-def inspect_statement(sql: str) -> Statement:
+def inspect_statement(sql: str) -> StatementInspection:
     """Inspect a statement, using the cached result for an equal text."""
     known = _cache.get(sql)
     if known is not None:
@@ -123,15 +123,15 @@
     return word['first'].upper(), sql[word.end() :]
 
 
-def _inspect(sql: str) -> Statement:
+def _inspect(sql: str) -> StatementInspection:
     word = _FIRST_WORD.match(sql)
     if word is None:
-        return Statement(StatementKind.WRITE)
+        return StatementInspection(StatementKind.WRITE)
     first = word['first'].upper()
     kind = _classify_kind(sql, first, word.end())
     if kind is StatementKind.SESSION and first not in _SESSION_WORDS:
-        return Statement(kind)
-    return Statement(
+        return StatementInspection(kind)
+    return StatementInspection(
         kind,
         find_refusal(sql, first),
         find_single_refusal(sql),
--- a/src/sedgeshunt/requests/transaction.py
+++ b/src/sedgeshunt/requests/transaction.py
@@ -65,7 +65,7 @@
         self.note_request_id(request)
         outcome = await self._run_statement(request, request.sql, route)
         refusal = outcome.err()
-        if self._is_undone(refusal):
+        if self._is_rolled_back(refusal):
             # Without this state, further statements would run outside the
             # transaction and commit one by one.
             await self._mark_lost()
@@ -219,7 +219,7 @@
         )
         return recorded if stored is None else stored
 
-    def _is_undone(self, refusal: Refusal | None) -> bool:
+    def _is_rolled_back(self, refusal: Refusal | None) -> bool:
         if self._connection is None or not self._connection.is_clean:
             return True
         if not isinstance(refusal, NotRun):
--- a/src/sedgeshunt/requests/writes.py
+++ b/src/sedgeshunt/requests/writes.py
@@ -61,7 +61,7 @@
             # later attempt certainly did not run.
             if isinstance(refusal, Unknown):
                 unknown = refusal
-            if not await self._may_repeat(request, refusal):
+            if not await self._may_retry(request, refusal):
                 return Err(unknown or refusal)
 
     async def _attempt(
@@ -120,7 +120,7 @@
                 outcome.ok_value,
             )
         if isinstance(outcome, Err):
-            return await self._undo(
+            return await self._roll_back(
                 service, connection, request, outcome.err_value
             )
         committed = await service.run_on(connection, request, 'COMMIT')
@@ -136,7 +136,7 @@
             ),
         )
 
-    async def _undo(
+    async def _roll_back(
         self,
         service: TargetService,
         connection: AcquiredConnection,
@@ -166,7 +166,7 @@
                 return stored
         return Err(refusal)
 
-    async def _may_repeat(self, request: Request, refusal: Refusal) -> bool:
+    async def _may_retry(self, request: Request, refusal: Refusal) -> bool:
         if read_clock() >= request.deadline or isinstance(refusal, Rejected):
             return False
         if isinstance(refusal, Unknown):
--- a/src/sedgeshunt/sessions/token.py
+++ b/src/sedgeshunt/sessions/token.py
@@ -97,7 +97,7 @@
         return text.rstrip(b'=').decode()
 
     def _verify_text(self, text: str) -> Result[tuple[_Entry, ...], NotRun]:
-        parts = _split(_decode_base64(text))
+        parts = _split_parts(_decode_base64(text))
         if parts is None:
             return Err(_refuse('is damaged'))
         if parts.prefix not in self._hashes:
@@ -153,7 +153,7 @@
         return b''
 
 
-def _split(content: bytes) -> _Parts | None:
+def _split_parts(content: bytes) -> _Parts | None:
     if len(content) < 2 or content[0] != _VERSION:
         return None
     tag_start = 2 + content[1]
