--- a/tests/features/return_histories.py
+++ b/tests/features/return_histories.py
@@ -1,4 +1,4 @@
-"""Play random faults around returns of the store, and check what must hold."""
+"""Run random faults around restores of the store and check invariants."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -14,29 +14,29 @@
 
 PROXIES = ('east-1', 'north-1', 'west-1', 'east-2', 'west-2')
 STEPS = 12
-# Returns are so many times as frequent as each other fault.
-RETURN_SHARE = 4
+# How many times as likely a restore is as each other fault.
+RESTORE_SHARE = 4
 LONGEST_PAUSE = 1.2
 LONGEST_AWAY = 2.5
 LONGEST_AGE = 6
-# All is healed for so long before the end is looked at, in seconds.
+# Time from the end of all faults to the checks, in seconds.
 SETTLE_TIME = 14
 WRITE_EVERY = 0.03
 
 
-class ReturnHistory:
-    """Hold one random history of a group, its proxies and the store."""
+class RestoreHistory:
+    """Run one random history of a group, its proxies and the store."""
 
-    def __init__(self, seed: int, *, with_returns: bool = True) -> None:
-        """Draw everything from `seed`."""
+    def __init__(self, seed: int, *, with_restores: bool = True) -> None:
+        """Draw all random choices from `seed`."""
         self._random = Random(seed)
-        self._with_returns = with_returns
+        self._with_restores = with_restores
         self.bench = NodeBench()
         self.callers = Callers(self.bench)
         self.steps: list[str] = []
 
-    def play(self) -> None:
-        """Start all, play the faults, heal them and let all settle."""
+    def run(self) -> None:
+        """Start the proxies, run the faults, end them and wait."""
         bench = self.bench
         bench.group.synchronous = 1
         bench.declare_again()
@@ -45,13 +45,13 @@
         for name in ('east-2', 'west-1'):
             bench.time.watch(self._write_on(name))
         for _ in range(STEPS):
-            self._play_step()
+            self._run_step()
         self._heal()
         bench.declare(tuple(one for one in ROUTES if one.name != 'browse'))
         bench.wait(SETTLE_TIME)
 
-    def find_breaks(self) -> list[str]:
-        """List what was broken; empty if all held."""
+    def list_failures(self) -> list[str]:
+        """List the checks that failed."""
         checks = (
             self._check_owners,
             self._check_writes,
@@ -62,7 +62,7 @@
         return [broken for check in checks for broken in check()]
 
     def close(self) -> None:
-        """End all."""
+        """Stop the callers and the proxies."""
         self.callers.is_over = True
         self.bench.close()
 
@@ -79,7 +79,7 @@
             )
             await sleep(WRITE_EVERY)
 
-    def _play_step(self) -> None:
+    def _run_step(self) -> None:
         steps: list[Callable[[], None]] = [
             self._kill,
             self._cut_store,
@@ -89,8 +89,8 @@
             self.bench.declare_again,
             self._lose_answer,
         ]
-        if self._with_returns:
-            steps.extend(repeat(self._return_store, RETURN_SHARE))
+        if self._with_restores:
+            steps.extend(repeat(self._restore_store, RESTORE_SHARE))
         step = self._random.choice(steps)
         now = self.bench.time.read_now()
         self.steps.append(f'{now:.3f} {step.__name__}')
@@ -125,14 +125,14 @@
             target.is_down = False
 
     def _crash_primary(self) -> None:
-        # One lost log at a time is what a synchronous replica makes up for.
+        # One synchronous replica tolerates the loss of one log at a time.
         if not any(one.is_down for one in self.bench.group.targets.values()):
             self.bench.group.find_primary().is_down = True
 
     def _lose_answer(self) -> None:
         self.bench.store.lose_next_answers(1)
 
-    def _return_store(self) -> None:
+    def _restore_store(self) -> None:
         away = self._random.uniform(0, LONGEST_AWAY)
         age = self._random.uniform(0, LONGEST_AGE)
         self._describe(f'away {away:.3f}, age {age:.3f}')
--- a/tests/features/steps/entries_steps.py
+++ b/tests/features/steps/entries_steps.py
@@ -1,4 +1,4 @@
-"""Check what entries of other writers lead to."""
+"""Check how entries written by others are read."""
 
 from ipaddress import ip_address
 from json import dumps
@@ -52,7 +52,7 @@
 
 
 class FixedView:
-    """Hold items as a view of the store does."""
+    """Stand in for a view of the store."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -60,7 +60,7 @@
         self.listeners: list[Listener] = []
 
     def listen(self, listener: Listener) -> None:
-        """Call `listener` with each change."""
+        """Call `listener` with the key of each change."""
         self.listeners.append(listener)
 
     def get(self, key: str) -> KeyValue | None:
@@ -74,11 +74,11 @@
         ]
 
     def measure_era_age(self) -> float:
-        """Tell that the store has never come back from a copy."""
+        """Return that the store was never restored."""
         return inf
 
     def put(self, key: str, document: bytes, revision: int) -> None:
-        """Write one item without telling anybody."""
+        """Write one item without a call of the listeners."""
         self.items[key] = KeyValue(
             key,
             document,
@@ -86,8 +86,8 @@
             Revision(1),
         )
 
-    def tell(self, key: str) -> None:
-        """Tell of a change, of a listing for ''."""
+    def notify(self, key: str) -> None:
+        """Call the listeners with a key, or with '' after a listing."""
         for listener in self.listeners:
             listener(key)
 
@@ -134,13 +134,13 @@
 @when('the entries are listed {times:d} times')
 def list_entries(context: Any, times: int) -> None:
     for _ in range(times):
-        context.view.tell('')
+        context.view.notify('')
 
 
 @when('the foreign entry is written again')
 def write_again(context: Any) -> None:
     context.view.put(FOREIGN, b'{"service": 3}', 4)
-    context.view.tell(FOREIGN)
+    context.view.notify(FOREIGN)
 
 
 @then('"{name}" is the only target')
@@ -150,7 +150,7 @@
     assert [known.target.name for known in members.targets] == [name]
 
 
-@then('{count:d} refusals were taken down')
+@then('{count:d} refusals were recorded')
 def check_refusals(context: Any, count: int) -> None:
     refused = context.decisions.list_decisions(
         DecisionKind.CONFIGURATION_REFUSED,
--- a/tests/features/steps/store_changes_steps.py
+++ b/tests/features/steps/store_changes_steps.py
@@ -1,4 +1,4 @@
-"""Check that few proxies watch the store for all."""
+"""Check that few proxies watch the store and forward its changes."""
 
 from asyncio import Queue, create_task
 from collections import Counter
@@ -22,10 +22,10 @@
 from tests.standins.network import PLATFORM, Network, Place
 from tests.standins.platform import KeyValueStandIn, MemoryKeyValue
 
-# What one call is charged; calls that are not named cost 1. A renewal and a
-# listing that may be old cost a tenth.
+# The charge for one call, 1 by default. A renewal and a listing that may be
+# stale are charged a tenth.
 CHARGES = {'keep': 0.1, 'old list': 0.1}
-# Views that run, until their loop ends.
+# Keeps the tasks of running views referenced.
 RUNNING: list[object] = []
 FEED_TIME = 0.5
 OUTAGE_TIME = 4
@@ -149,28 +149,28 @@
 @given('a view that has followed the store to revision {revision:d}')
 def follow_to(context: Any, revision: int) -> None:
     bench = open_bench(context)
-    context.feed = HandFeed()
+    context.feed = ScenarioFeed()
     context.view = bench.run(_start_view(context.feed))
     event = _change('a', revision)
-    _hand(context, StoreChanges(NOTHING, Revision(revision), (event,)))
+    _send(context, StoreChanges(NOTHING, Revision(revision), (event,)))
 
 
-@when('it is handed what changed from {after:d} to {revision:d}')
-def hand_changes(context: Any, after: int, revision: int) -> None:
+@when('it receives the changes from {after:d} to {revision:d}')
+def send_changes(context: Any, after: int, revision: int) -> None:
     event = _change('b', revision)
-    _hand(context, StoreChanges(Revision(after), Revision(revision), (event,)))
+    _send(context, StoreChanges(Revision(after), Revision(revision), (event,)))
 
 
-@when('it is handed all items as of revision {revision:d}')
-def hand_all(context: Any, revision: int) -> None:
+@when('it receives a snapshot of revision {revision:d}')
+def send_snapshot(context: Any, revision: int) -> None:
     event = _change('c', revision)
-    _hand(
+    _send(
         context,
         StoreChanges(NOTHING, Revision(revision), (event,), is_whole=True),
     )
 
 
-@then('it asks somebody else')
+@then('it stops following that peer')
 def check_refused(context: Any) -> None:
     assert not context.feed.is_trusted
     assert [pair.key for pair in context.view.list_prefix('')] == [FIRST_KEY]
@@ -182,39 +182,39 @@
     assert context.view.revision == revision, context.view.revision
 
 
-@then('it has nothing else')
+@then('it has no other items')
 def check_items(context: Any) -> None:
     keys = [pair.key for pair in context.view.list_prefix('')]
     assert keys == [f'{OWN_PREFIX}c'], keys
 
 
-class HandFeed(ChangeFeed):
-    """Hand on what a scenario says."""
+class ScenarioFeed(ChangeFeed):
+    """Yield the changes that a scenario sends."""
 
     def __init__(self) -> None:
-        """Have nothing yet."""
-        self.handed: Queue[StoreChanges] = Queue()
+        """Start without changes."""
+        self.sent: Queue[StoreChanges] = Queue()
         self.is_trusted = True
 
     def is_expected(self) -> bool:
-        """Tell that it will bring changes."""
+        """Return True."""
         return True
 
     def is_available(self) -> bool:
-        """Tell whether it has brought nothing wrong."""
+        """Return whether the view still follows the peer."""
         return self.is_trusted
 
     async def open(self, after: Revision) -> AsyncGenerator[StoreChanges, None]:
-        """Yield what the scenario hands over."""
+        """Yield what the scenario sends."""
         while True:
-            yield await self.handed.get()
+            yield await self.sent.get()
 
     def suspend_peer(self) -> None:
-        """Take in that it is not wanted any more."""
+        """Record that the view stopped following the peer."""
         self.is_trusted = False
 
 
-async def _start_view(feed: HandFeed) -> StoreView:
+async def _start_view(feed: ScenarioFeed) -> StoreView:
     store = MemoryKeyValue(KeyValueStandIn(Network()), Place('view', 'east'))
     decisions = MemoryDecisionLog()
     current = CurrentStore(store, decisions)
@@ -224,8 +224,8 @@
     return view
 
 
-def _hand(context: Any, changes: StoreChanges) -> None:
-    context.feed.handed.put_nowait(changes)
+def _send(context: Any, changes: StoreChanges) -> None:
+    context.feed.sent.put_nowait(changes)
     context.nodes.wait(FEED_TIME)
 
 
@@ -234,7 +234,7 @@
 
 
 def charge_calls(counts: Counter[str]) -> float:
-    """Return what calls cost, by their names."""
+    """Return the charge for counted calls."""
     return sum(CHARGES.get(name, 1) * count for name, count in counts.items())
 
 
@@ -276,7 +276,7 @@
         bench.time.act(bench.nodes.pop(name).kill)
     elif fault == 'are cut off from the store':
         cut_store(context, name)
-    elif fault == 'hear nothing more by their watches':
+    elif fault == 'get no more changes from their watches':
         bench.store.deaf_clients.add(name)
     else:
         cut_node(context, name)
--- a/tests/features/steps/store_return_steps.py
+++ b/tests/features/steps/store_return_steps.py
@@ -1,4 +1,4 @@
-"""Check what holds after the store has come back from an older copy."""
+"""Check what holds after the store is restored from a snapshot."""
 
 from collections import Counter
 from typing import Any
@@ -7,11 +7,11 @@
 
 from sedgeshunt.decisions import DecisionKind
 from tests.features.node_bench import NodeBench
-from tests.features.return_histories import ReturnHistory
+from tests.features.return_histories import RestoreHistory
 from tests.features.steps.fleets_steps import name_proxies
 from tests.features.steps.store_changes_steps import charge_calls
 
-# Calls are counted for so long after the store is back, in seconds.
+# For how long calls are counted after a restore, in seconds.
 COUNTED_TIME = 4
 LONG_TIME = 60
 
@@ -24,18 +24,18 @@
         bench.wait(span / count)
 
 
-@given('the primary takes {seconds:g} s to write its entry after a return')
+@given('the primary takes {seconds:g} s to write its entry after a restore')
 def delay_entry(context: Any, seconds: float) -> None:
     context.nodes.relist_time = seconds
 
 
-@when('the store comes back after {away:g} s as it was {age:g} s before')
-def return_store(context: Any, away: float, age: float) -> None:
+@when('the store is restored after {away:g} s to its state {age:g} s before')
+def restore_store(context: Any, away: float, age: float) -> None:
     bench: NodeBench = context.nodes
     bench.return_store(away, age)
 
 
-@when('others are granted {count:d} leases')
+@when('other clients are granted {count:d} leases')
 def grant_leases(context: Any, count: int) -> None:
     bench: NodeBench = context.nodes
     store = bench.store.store
@@ -46,14 +46,14 @@
     context.granted = bench.run(grant())
 
 
-@then('no proxy holds a lease of the others')
+@then('no proxy holds a lease of another client')
 def check_foreign_leases(context: Any) -> None:
     for name, node in context.nodes.nodes.items():
         lease = node.service.find_lease()
         assert not (lease.is_held() and lease.id in context.granted), name
 
 
-@then('the version in force went down nowhere')
+@then('no proxy applied an older version')
 def check_versions(context: Any) -> None:
     bench: NodeBench = context.nodes
     for name, node in bench.nodes.items():
@@ -87,14 +87,14 @@
 
 
 @given(
-    'calls to the store after a return before {few:d} and then {many:d}'
+    'calls to the store after a restore with {few:d} and then {many:d}'
     + ' proxies',
 )
-def return_before_both(context: Any, few: int, many: int) -> None:
-    context.per_proxy = [_charge_return(count) for count in (few, many)]
+def restore_both(context: Any, few: int, many: int) -> None:
+    context.per_proxy = [_charge_restore(count) for count in (few, many)]
 
 
-def _charge_return(count: int) -> float:
+def _charge_restore(count: int) -> float:
     bench = NodeBench()
     try:
         bench.start(*name_proxies(count))
@@ -107,15 +107,15 @@
         bench.close()
 
 
-@when('the history with the seed {seed:d} is played')
-def play_history(context: Any, seed: int) -> None:
-    history = ReturnHistory(seed)
+@when('the history with the seed {seed:d} is run')
+def run_history(context: Any, seed: int) -> None:
+    history = RestoreHistory(seed)
     context.add_cleanup(history.close)
-    history.play()
+    history.run()
     context.history = history
 
 
-@then('it broke nothing')
+@then('no check of it fails')
 def check_history(context: Any) -> None:
-    broken = context.history.find_breaks()
+    broken = context.history.list_failures()
     assert not broken, (broken, context.history.steps)
