--- a/tests/features/steps/limits_steps.py
+++ b/tests/features/steps/limits_steps.py
@@ -50,7 +50,7 @@
         self.thawed.set()
         self.ended: list[Ended] = []
         self.admissions = [self.make_admission()]
-        self._places = Semaphore(slots)
+        self._slots = Semaphore(slots)
 
     def make_admission(self) -> TargetAdmission:
         return TargetAdmission(TargetId('ada'), SHARE, self.slots, 6)
@@ -59,7 +59,7 @@
         return self.loop.run_until_complete(work)
 
     async def execute(self, work: float) -> None:
-        async with self._places:
+        async with self._slots:
             await self.thawed.wait()
             await sleep(work)
 
@@ -143,7 +143,7 @@
     'through one proxy',
 )
 def arrive(context: Any, count: int, left: int) -> None:
-    # With one place only, as on a busy target.
+    # One connection only, as for a proxy with a small share.
     context.bench.admissions[0].resize(1)
     context.bench.run(context.bench.ask_at_once(count, left / 1000))
 
@@ -163,7 +163,7 @@
     assert max(each.spent for each in refused) <= spent / 1000 + MARGIN
 
 
-@when('one more holds its place for 1 s and another asks')
+@when('one more holds its slot for 1 s and another request arrives')
 def ask_stalled(context: Any) -> None:
     bench = context.bench
 
@@ -177,12 +177,12 @@
     bench.run(ask_late())
 
 
-@when('callers leave while waiting and in the moment of their turn')
-def leave(context: Any) -> None:
+@when('callers cancel while queued and at the moment of their turn')
+def cancel_callers(context: Any) -> None:
     bench = context.bench
     admission = bench.admissions[0]
 
-    async def leave_all() -> None:
+    async def cancel_all() -> None:
         deadline = Monotonic(1)
         held = (await admission.admit(TrafficClass('a'), 1, deadline)).unwrap()
         waiting = [
@@ -199,10 +199,10 @@
         assert admission.running == 1
         (await waiting[2]).unwrap().release(Seconds(0.01), ok=True)
 
-    bench.run(leave_all())
+    bench.run(cancel_all())
 
 
-@then('no place and no waiter is left')
+@then('no slot is taken and no request is queued')
 def check_nothing_left(context: Any) -> None:
     admission = context.bench.admissions[0]
     assert (admission.running, admission.queued) == (0, 0)
@@ -287,8 +287,8 @@
     answer(context, count)
 
 
-@when('{count:d} requests in {span:d} s all want a retry')
-def want_retries(context: Any, count: int, span: int) -> None:
+@when('{count:d} requests in {span:d} s all ask for a retry')
+def ask_retries(context: Any, count: int, span: int) -> None:
     async def retry_all() -> int:
         budget = RetryBudget()
         allowed = 0
--- a/tests/specs/parts_spec.py
+++ b/tests/specs/parts_spec.py
@@ -1,4 +1,4 @@
-"""Specify how a proxy's part of all limits goes from one counter to another."""
+"""Specify how a proxy reassigns its part of all limits to another server."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -7,14 +7,14 @@
 from tests.specs.checking import Specification
 
 # Steps of time for which a part is held, and of the whole history.
-HELD_FOR = 2
+HOLD_TIME = 2
 LAST_MOMENT = 6
-COUNTERS = (0, 1)
-MOST_UNDER_WAY = 2
+SERVERS = (0, 1)
+MAX_UNDER_WAY = 2
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """Name the safeguards that can be removed."""
 
     COUNTERS_CLOCK = "a part is held from what was heard of the counter's clock"
     WAIT_TO_GIVE = 'a part is given to nobody else while it may be held'
@@ -22,14 +22,14 @@
 
 
 class Message(NamedTuple):
-    """Hold a part on its way, with the counter's clock as it was heard."""
+    """Hold a part under way, with the server's clock as last received."""
 
-    counter: int
+    server: int
     heard: int
 
 
 class State(NamedTuple):
-    """Hold the giver, what is on its way, and until when each counter holds."""
+    """Hold the proxy's assignment, its messages and the servers' parts."""
 
     now: int = 0
     heard: tuple[int, int] = (0, 0)
@@ -43,7 +43,7 @@
 
 
 def specify_parts(removed: Safeguard | None = None) -> Specification:
-    """Return a proxy that gives its part to one of two counters."""
+    """Return a proxy that assigns its part to one of two servers."""
     return Specification(
         'parts',
         State._fields,
@@ -54,10 +54,10 @@
 
 
 class _Steps:
-    """List what may happen next."""
+    """List the possible next steps."""
 
     def __init__(self, removed: Safeguard | None) -> None:
-        """Leave one safeguard out."""
+        """Remove one safeguard."""
         self._removed = removed
 
     def list_steps(self, state: State) -> list[Step]:
@@ -67,11 +67,11 @@
     def _list(self, state: State) -> Iterator[Step]:
         if state.now < LAST_MOMENT:
             yield 'time goes by', state._replace(now=state.now + 1)
-        for counter in COUNTERS:
-            heard = _put(state.heard, counter, state.now)
-            yield f'{counter} is heard', state._replace(heard=heard)
-            if self._may_give(state, counter):
-                yield f'gives to {counter}', self._give(state, counter)
+        for server in SERVERS:
+            heard = _put(state.heard, server, state.now)
+            yield f'{server} is heard', state._replace(heard=heard)
+            if self._may_assign(state, server):
+                yield f'gives to {server}', self._assign(state, server)
         for message in set(state.under_way):
             rest = list(state.under_way)
             rest.remove(message)
@@ -79,20 +79,20 @@
             yield 'it is lost', left
             yield 'it arrives', self._take(left, message)
 
-    def _may_give(self, state: State, counter: int) -> bool:
-        if len(state.under_way) == MOST_UNDER_WAY:
+    def _may_assign(self, state: State, server: int) -> bool:
+        if len(state.under_way) == MAX_UNDER_WAY:
             return False
         if self._removed is Safeguard.WAIT_TO_GIVE:
             return True
-        return state.holder in (counter, None) or state.now >= state.free_at
+        return state.holder in (server, None) or state.now >= state.free_at
 
-    def _give(self, state: State, counter: int) -> State:
-        message = Message(counter, state.heard[counter])
-        free_at = state.now + HELD_FOR
-        if self._removed is Safeguard.LATEST_SENT and state.holder == counter:
+    def _assign(self, state: State, server: int) -> State:
+        message = Message(server, state.heard[server])
+        free_at = state.now + HOLD_TIME
+        if self._removed is Safeguard.LATEST_SENT and state.holder == server:
             free_at = state.free_at
         return state._replace(
-            holder=counter,
+            holder=server,
             free_at=free_at,
             under_way=(*state.under_way, message),
         )
@@ -101,8 +101,8 @@
         since = message.heard
         if self._removed is Safeguard.COUNTERS_CLOCK:
             since = state.now
-        until = max(state.until[message.counter], since + HELD_FOR)
-        return state._replace(until=_put(state.until, message.counter, until))
+        until = max(state.until[message.server], since + HOLD_TIME)
+        return state._replace(until=_put(state.until, message.server, until))
 
 
 def _put(pair: tuple[int, int], place: int, one: int) -> tuple[int, int]:
