--- a/src/sedgeshunt/execution/primary_finder.py
+++ b/src/sedgeshunt/execution/primary_finder.py
@@ -100,11 +100,11 @@
             for name, status in statuses.items()
             if not self.has_restarted(members.find(name))
         }
-        leader = find_leader(trusted, min_term, known_tip)
-        known = None if leader is None else members.find(leader)
-        if leader is None or known is None:
+        primary = find_leader(trusted, min_term, known_tip)
+        known = None if primary is None else members.find(primary)
+        if primary is None or known is None:
             return None
-        return FoundPrimary(known, statuses[leader])
+        return FoundPrimary(known, statuses[primary])
 
     def _may_miss_primary(
         self,
