--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -59,8 +59,8 @@
         elif gone and await self._is_covered(members, executor):
             await self._record(recorded - gone)
 
-    async def _record(self, max_running: frozenset[CopyPlace]) -> None:
-        if not await self._records.note_copies(self._ownership, max_running):
+    async def _record(self, places: frozenset[CopyPlace]) -> None:
+        if not await self._records.note_copies(self._ownership, places):
             self._pause()
 
     def _find_gone(self, absent: frozenset[CopyPlace]) -> frozenset[CopyPlace]:
--- a/src/sedgeshunt/execution/replacement.py
+++ b/src/sedgeshunt/execution/replacement.py
@@ -175,9 +175,9 @@
             ],
         )
         recorded = self._records.find_copies(members.group.name)
-        max_running = recorded | list_places(members)
+        places = recorded | list_places(members)
         # The lost primary is among them and does not count.
-        return len(max_running - list_places(reachable)) - 1
+        return len(places - list_places(reachable)) - 1
 
     async def _catch_up(
         self,
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -155,7 +155,7 @@
             due=self._find_due(call, deadline, arrived_at),
         )
         if isinstance(lent, Err):
-            self.note_refusal(lent.err_value)
+            self.record_connection_failure(lent.err_value)
             self._note_refused(call, lent.err_value)
         elif is_transaction:
             self._note_wait(call, arrived_at)
@@ -229,9 +229,9 @@
     ) -> Monotonic:
         now = read_clock()
         waited = now - (arrived_at or now)
-        aim_left = Seconds(call.objective_left - waited)
+        objective_left = Seconds(call.objective_left - waited)
         return self._standing_queue.find_due(
-            call.priority, aim_left, deadline, now
+            call.priority, objective_left, deadline, now
         )
 
     def _note_wait(self, call: StatementCall, arrived_at: Monotonic) -> None:
@@ -369,9 +369,9 @@
         """
         is_transaction = call.transaction is not None
         has_connection = self.pool.has_room(is_transaction=is_transaction)
-        has_turn = self.admission.has_room()
+        has_slot = self.admission.has_room()
         return (
-            has_connection and has_turn and self.admission.running < max_running
+            has_connection and has_slot and self.admission.running < max_running
         )
 
     def has_spare_capacity(self, call: StatementCall) -> bool:
@@ -460,8 +460,8 @@
         self.shown = _find_later(self.shown, reply.point)
         self.tip = _find_later(self.tip, reply.point)
 
-    def note_refusal(self, refusal: NotRun) -> None:
-        """Count a failure if no session could be lent for lack of a target."""
+    def record_connection_failure(self, refusal: NotRun) -> None:
+        """Count a refusal to lend a session if the target was unreachable."""
         if refusal.cause is Cause.CONNECTION_LOST:
             self.failures += 1
             self.failed.set()
--- a/src/sedgeshunt/statements/counts.py
+++ b/src/sedgeshunt/statements/counts.py
@@ -14,17 +14,17 @@
         self._metrics = metrics
         self._inner = inner
 
-    def record(self, end: StatementRecord) -> None:
+    def record(self, record: StatementRecord) -> None:
         """Count one statement by its outcome and cause."""
         metrics = self._metrics
-        metrics.count(f'requests.{name_outcome(end.refusal)}')
-        if end.refusal is None:
-            metrics.time(f'requests.{end.kind}', end.spent)
-            if end.spent > end.objective:
+        metrics.count(f'requests.{name_outcome(record.refusal)}')
+        if record.refusal is None:
+            metrics.time(f'requests.{record.kind}', record.spent)
+            if record.spent > record.objective:
                 metrics.count('requests.late')
         else:
-            metrics.count(f'refusals.{_find_cause(end.refusal)}')
-        self._inner.record(end)
+            metrics.count(f'refusals.{_find_cause(record.refusal)}')
+        self._inner.record(record)
 
 
 class DecisionCounts(DecisionLog):
--- a/src/sedgeshunt/statements/dispatch.py
+++ b/src/sedgeshunt/statements/dispatch.py
@@ -21,7 +21,7 @@
 OWNER_CHECK_INTERVAL = Seconds(0.02)
 # How often a reader's heartbeat is checked while its answer is awaited.
 READER_CHECK_INTERVAL = Seconds(0.05)
-SILENT_RETRY = Seconds(0.1)
+UNRESPONSIVE_RETRY = Seconds(0.1)
 _Outcome = Result[Answer, Refusal]
 # Causes after which another attempt may succeed.
 _TRANSIENT_CAUSES = frozenset((Cause.SUPERSEDED, Cause.CONNECTION_LOST))
@@ -166,7 +166,7 @@
                 last = outcome.err()
                 if not _is_transient(last):
                     return DispatchResult(outcome, site)
-            expected_at = self._expect(call.group, site)
+            expected_at = self._expect_owner(call.group, site)
             if not is_worth_holding(expected_at, deadline):
                 refusal = last or _refuse(call.group, expected_at)
                 return DispatchResult(Err(refusal))
@@ -174,7 +174,7 @@
                 Monotonic(read_clock() + OWNER_CHECK_INTERVAL),
             )
 
-    def _expect(
+    def _expect_owner(
         self, group: GroupId, site: CallSite | None
     ) -> Monotonic | None:
         # A known owner decides itself whether waiting for a new primary is
@@ -199,7 +199,7 @@
 
 def _refuse_unresponsive(site: CallSite) -> NotRun:
     reason = f'proxy {site.name} has fallen silent'
-    return NotRun(Cause.CONNECTION_LOST, reason, SILENT_RETRY)
+    return NotRun(Cause.CONNECTION_LOST, reason, UNRESPONSIVE_RETRY)
 
 
 def _is_transient(refusal: Refusal | None) -> bool:
--- a/src/sedgeshunt/statements/records.py
+++ b/src/sedgeshunt/statements/records.py
@@ -39,12 +39,12 @@
     """Record statements; implementations must not block or raise."""
 
     @abstractmethod
-    def record(self, end: StatementRecord) -> None:
+    def record(self, record: StatementRecord) -> None:
         """Record the outcome of one statement."""
 
 
 class NullRecorder(StatementRecorder):
     """Discard all records."""
 
-    def record(self, end: StatementRecord) -> None:
+    def record(self, record: StatementRecord) -> None:
         """Discard one record."""
