--- a/src/sedgeshunt/groups/failure_detector.py
+++ b/src/sedgeshunt/groups/failure_detector.py
@@ -14,7 +14,7 @@
 
 # A planned handover starts once a replica has what the primary had this many
 # checks ago. The replica copies the rest during the handover.
-MAX_HANDOVER_LAG = 8
+MAX_HANDOVER_LAG_CHECKS = 8
 # A leaving primary whose replicas lag is replaced after this time. Its last
 # records, none of them acknowledged, are lost.
 HANDOVER_TIMEOUT = Seconds(3)
@@ -57,7 +57,7 @@
         self._view = view
         self._leaving_since: Monotonic | None = None
         # The primary's log end at each of the last checks.
-        self._log_ends: deque[Point] = deque(maxlen=MAX_HANDOVER_LAG)
+        self._log_ends: deque[Point] = deque(maxlen=MAX_HANDOVER_LAG_CHECKS)
 
     def detect(self) -> Suspicion | None:
         """Return the first current cause for another primary, None if none."""
@@ -132,8 +132,8 @@
         # A handover stops writes, so it only starts once it can succeed.
         # Otherwise a leaving primary without a successor would block writes
         # forever.
-        tip = self._record_log_end(primary)
-        if any(self._view.covers(target, tip) for target in staying):
+        log_end = self._record_log_end(primary)
+        if any(self._view.covers(target, log_end) for target in staying):
             return self._suspect(SuspicionCause.LEAVING, primary, now)
         is_waiting = now - self._leaving_since <= HANDOVER_TIMEOUT
         if is_waiting or len(staying) < self._view.states.majority:
--- a/src/sedgeshunt/groups/successors.py
+++ b/src/sedgeshunt/groups/successors.py
@@ -18,9 +18,10 @@
     `min_term` is the newest term known to have had a primary. `last_seen` is
     the newest log end that any primary had shown before the statuses were read.
     """
-    # After a partition, a superseded primary reports itself as primary for up
-    # to a second. If its successor is lost meanwhile, it is the only one that
-    # does, but its log lacks the writes made since.
+    # A superseded primary that was partitioned or silent reports itself as
+    # primary for up to a second after its return. If its successor is lost
+    # meanwhile, it is the only one to do so, but its log lacks the writes made
+    # since.
     newest = max(
         (status.term for status in statuses.values()),
         default=min_term,
--- a/src/sedgeshunt/groups/target_monitor.py
+++ b/src/sedgeshunt/groups/target_monitor.py
@@ -45,7 +45,7 @@
         self._commands = CommandQueue(target)
         self._backoff = Backoff()
         self._last_status: TargetStatus | None = None
-        self._timer = AdaptiveTimeout()
+        self._call_timeout = AdaptiveTimeout()
         self._connected_at = Monotonic(0)
 
     async def fence(self, term: Term) -> TargetStatus:
@@ -73,12 +73,12 @@
         """Monitor the target until cancelled."""
         while True:
             try:
-                await self._watch()
+                await self._monitor()
             except (SedgeshuntError, OSError):
                 self._view.record_disconnect(self.target)
-            await self._pause()
+            await self._wait_before_reconnect()
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         async with AsyncExitStack() as stack:
             connection = await self._connect(stack)
             self._connected_at = read_clock()
@@ -93,7 +93,7 @@
                 spent = read_clock() - asked_at
                 await sleep(max(0, timing.spacing - spent))
 
-    async def _pause(self) -> None:
+    async def _wait_before_reconnect(self) -> None:
         connected_for = read_clock() - self._connected_at
         was_stable = (
             self._last_status is not None and connected_for >= MIN_STABLE_TIME
@@ -178,7 +178,7 @@
         wait: Seconds = NO_WAIT,
     ) -> TargetStatus:
         liveness = self._view.states.find_liveness(self.target)
-        return await self._timer.run(
+        return await self._call_timeout.run(
             answer,
             wait,
             liveness.get_suspicion_time(read_clock()),
--- a/tests/features/promotion.feature
+++ b/tests/features/promotion.feature
@@ -65,7 +65,7 @@
     Its latency rises up to 600 ms, and the suspicion time with it. A failover
     would interrupt writes without making them faster.
     When the answers from zone "east" slow down step by step to 600 ms
-    Then nobody was promoted
+    Then no target was promoted
 
   Scenario: One proxy cannot reach the primary
     The other proxies report that they reach the primary, so the failover is
@@ -73,19 +73,19 @@
     must not wait forever.
     When proxy "p2" cannot reach "ada"
     And the group runs for 4 s
-    Then nobody was promoted
+    Then no target was promoted
     And a "promotion-deferred" was recorded
     When the group runs for 3 s
     Then a primary other than "ada" leads in term 2
     And no acknowledged write is lost
 
-  Scenario: A proxy that reaches a minority fences nobody
+  Scenario: A proxy that reaches a minority fences no target
     It reaches neither the primary nor a majority. A fence could stop the
     writes of all other proxies but couldn't elect a primary.
     When proxy "p2" cannot reach "ada"
     And proxy "p2" cannot reach "bob"
     And the group runs for 8 s
-    Then nobody was promoted
+    Then no target was promoted
     And the newest term is 1
 
   Scenario: The primary is cut off from its group, but not from the proxies
@@ -112,7 +112,7 @@
     must not be suspected because of a pause of the proxies themselves.
     When the proxies' process is frozen for 3 s
     And the group runs for 2 s
-    Then nobody was promoted
+    Then no target was promoted
 
   Scenario: A target comes back from an old backup
     Its fence and its last records are gone. If its answers counted, a write
@@ -138,16 +138,16 @@
       | safeguard   | fault                                            | symptom                        |
       | majority    | zone "east" is cut off                           | acknowledged writes are lost   |
       | repair      | zone "east" is cut off                           | "ada" is left with its own log |
-      | peers       | proxy "p2" cannot reach "ada"                    | somebody was promoted          |
-      | pauses      | the proxies' process is frozen for 3 s           | somebody was promoted          |
-      | stall watch | database "ada" cannot reach the other databases  | nobody was promoted            |
+      | peers       | proxy "p2" cannot reach "ada"                    | a target was promoted          |
+      | pauses      | the proxies' process is frozen for 3 s           | a target was promoted          |
+      | stall check | database "ada" cannot reach the other databases  | no target was promoted         |
       | early fence | database "ada" gets the label that it is leaving | the newest term is above 2     |
 
   Scenario Outline: Random faults at random moments
     Databases crash, freeze, lag and leave, zones and connections are cut, the
     proxies pause, in any order. At the end all acknowledged writes must be
     present. The barrier of each new session must cover them.
-    When faults strike for 15 s by seed <seed>
+    When random faults are injected for 15 s with seed <seed>
     Then no acknowledged write is lost
     And no term was asked for by two primaries
     And no barrier was below an acknowledged write
--- a/tests/features/steps/promotion_steps.py
+++ b/tests/features/steps/promotion_steps.py
@@ -28,7 +28,7 @@
     return False
 
 
-async def _fence_nobody(*_arguments: Any) -> list[Any]:
+async def _fence_none(*_arguments: Any) -> list[Any]:
     return []
 
 
@@ -46,7 +46,7 @@
         _never_defer,
     ),
     'pauses': partial(patch.object, PauseWatch, 'check', _find_nothing),
-    'stall watch': partial(
+    'stall check': partial(
         patch.object,
         StallDetector,
         'find_stall',
@@ -56,7 +56,7 @@
         patch.object,
         Promoter,
         '_fence_leaving_primary',
-        _fence_nobody,
+        _fence_none,
     ),
     'rank delay': partial(patch, RANK_DELAY, 0),
 }
@@ -169,7 +169,7 @@
     context.bench.pause(seconds)
 
 
-@when('faults strike for {seconds:d} s by seed {seed:d}')
+@when('random faults are injected for {seconds:d} s with seed {seed:d}')
 def inject_faults(context: Any, seconds: int, seed: int) -> None:
     bench, random = context.bench, Random(seed)
     for proxy in PROXIES:
@@ -254,13 +254,13 @@
         assert primary == leader.name, (node.place.name, primary)
 
 
-@then('nobody was promoted')
+@then('no target was promoted')
 def check_no_promotion(context: Any) -> None:
     promoted = context.bench.list_decisions(DecisionKind.PROMOTED)
     assert not promoted, promoted
 
 
-@then('somebody was promoted')
+@then('a target was promoted')
 def check_promotion(context: Any) -> None:
     assert context.bench.list_decisions(DecisionKind.PROMOTED)
 
