--- a/src/sedgeshunt/requests/group_service.py
+++ b/src/sedgeshunt/requests/group_service.py
@@ -100,7 +100,7 @@
             self._waiting_writes -= 1
 
     def find_primary_term(self, target: TargetId) -> Term | None:
-        """Return the term in which the target was last seen as primary."""
+        """Return the term of the target if it was last seen as primary."""
         status = self.view.get_status(target)
         if status is None or status.role is not Role.PRIMARY:
             return None
@@ -120,8 +120,8 @@
         while read_clock() < deadline:
             seen = self.view.get_observation(target)
             if seen is not None and seen.asked_at >= since:
-                is_leading = self.find_primary_term(target) == term
-                return seen.status.log_end if is_leading else None
+                is_primary = self.find_primary_term(target) == term
+                return seen.status.log_end if is_primary else None
             self.view.request_fresh()
             await self.view.wait_change(deadline)
         return None
