--- a/tests/features/specs.feature
+++ b/tests/features/specs.feature
@@ -101,12 +101,12 @@
       | safeguard                                            | property                                  | steps |
       | a lease counts from when its renewal was sent        | one owner at once                         | 7     |
       | a promise is dated by its owner's own clock          | one owner at once                         | 7     |
-      | who promised waits before it claims                  | one owner at once                         | 7     |
+      | a candidate waits for the end of its promise         | one owner at once                         | 7     |
       | a process that starts is bound as if it had promised | one owner at once                         | 8     |
-      | promises carry on only what still holds              | no ownership is resumed after a later one | 8     |
+      | promises extend only a valid ownership               | no ownership is resumed after a later one | 8     |
       | a shorter promise does not shorten a longer one      | one owner at once                         | 8     |
       | an ownership ends before it is released              | one owner at once                         | 9     |
-      | the store gives the key away only when it is absent  | one owner at once                         | 2     |
+      | a claim succeeds only if the key is absent           | one owner at once                         | 2     |
 
   Scenario Outline: A succession without one of its safeguards
     An owner has the primary replaced and loses the group to another one, at any
@@ -149,10 +149,10 @@
     Examples:
       | safeguard                                                       | steps |
       | a lease of an older era is not renewed                          | 5     |
-      | who claims after a return waits for older leases                | 3     |
-      | who claims after a return is free of every promise              | 4     |
-      | one's own key proves nothing in a store that has lost a claim   | 3     |
-      | only an owner whose proofs hold claims at once                  | 6     |
+      | a claim after a restore waits for older leases                  | 3     |
+      | a claim after a restore waits for all promises                  | 4     |
+      | an own key is no proof in a store that lost a claim             | 3     |
+      | only an owner that is still valid claims at once                | 6     |
 
   Scenario Outline: Changes that are handed on without one of the safeguards
     Two proxies watch the store or follow each other; they start anew, stop, and
@@ -163,12 +163,12 @@
 
     Examples:
       | safeguard                                                  | property                                 | steps |
-      | only who watches the store hands changes on                | who is fed is fed by a watcher           | 1     |
-      | who stops watching ends its feeds                          | who is fed is fed by a watcher           | 3     |
-      | who is too far behind gets all items                       | nothing is missed up to what is known    | 6     |
-      | changes that begin later than what is known are refused    | nothing is missed up to what is known    | 8     |
-      | a watch goes on in its own era only                        | nothing is missed up to what is known    | 7     |
-      | changes of an older era are refused                        | nothing is missed up to what is known    | 8     |
+      | only watchers of the store forward changes                 | every follower follows a watcher         | 1     |
+      | a watcher that stops ends its feeds                        | every follower follows a watcher         | 3     |
+      | a follower that is too far behind gets a snapshot          | no change up to the known place is missed | 6     |
+      | changes after a gap are refused                            | no change up to the known place is missed | 8     |
+      | a watch continues in its own era only                      | no change up to the known place is missed | 7     |
+      | changes of an older era are refused                        | no change up to the known place is missed | 8     |
 
   Scenario Outline: A limit that is kept without one of its safeguards
     Two counters have a part of a customer's limit each. They lose each other and
--- a/tests/specs/ownership_spec.py
+++ b/tests/specs/ownership_spec.py
@@ -24,12 +24,12 @@
 
     COUNT_FROM_SENDING = 'a lease counts from when its renewal was sent'
     DATE_BY_ECHO = "a promise is dated by its owner's own clock"
-    BOND = 'who promised waits before it claims'
-    RESTART_BOND = 'a process that starts is bound as if it had promised'
-    CONTINUITY = 'promises carry on only what still holds'
+    PROMISE_END = 'a candidate waits for the end of its promise'
+    RESTART_PROMISE = 'a process that starts is bound as if it had promised'
+    CONTINUITY = 'promises extend only a valid ownership'
     KEEP_LONGER = 'a shorter promise does not shorten a longer one'
     END_FIRST = 'an ownership ends before it is released'
-    KEY_ABSENT = 'the store gives the key away only when it is absent'
+    KEY_ABSENT = 'a claim succeeds only if the key is absent'
 
 
 class Renewal(NamedTuple):
@@ -185,7 +185,7 @@
         frozen = proxy._replace(is_frozen=True)
         yield f'{index} freezes', put(state, index, frozen)
         if index == CANDIDATE:
-            is_bound = self._removed is not Safeguard.RESTART_BOND
+            is_bound = self._removed is not Safeguard.RESTART_PROMISE
             fresh = Proxy(bound_for=LONGEST if is_bound else 0)
             yield f'{index} restarts', put(state, index, fresh)
 
@@ -286,7 +286,9 @@
             firm = proxy._replace(is_withholding=True)
             yield f'{index} withholds promises', put(state, index, firm)
             return
-        is_bound = proxy.bound_for and self._removed is not Safeguard.BOND
+        is_bound = (
+            proxy.bound_for and self._removed is not Safeguard.PROMISE_END
+        )
         is_accepted = state.key is not None
         if self._removed is Safeguard.KEY_ABSENT:
             is_accepted = False
--- a/tests/specs/returns_spec.py
+++ b/tests/specs/returns_spec.py
@@ -22,10 +22,10 @@
     """Name the safeguards that can be removed."""
 
     LEASE_ERA = 'a lease of an older era is not renewed'
-    RETURN_WAIT = 'who claims after a return waits for older leases'
-    BOND = 'who claims after a return is free of every promise'
-    OWN_KEY = "one's own key proves nothing in a store that has lost a claim"
-    HELD = 'only an owner whose proofs hold claims at once'
+    RETURN_WAIT = 'a claim after a restore waits for older leases'
+    PROMISE_END = 'a claim after a restore waits for all promises'
+    OWN_KEY = 'an own key is no proof in a store that lost a claim'
+    HELD = 'only an owner that is still valid claims at once'
 
 
 class Proxy(NamedTuple):
@@ -180,7 +180,7 @@
                     return True
             if proxy.wait and self._removed is not Safeguard.RETURN_WAIT:
                 return False
-        return not proxy.bound_for or self._removed is Safeguard.BOND
+        return not proxy.bound_for or self._removed is Safeguard.PROMISE_END
 
 
 def _list_store_steps(state: State) -> Iterator[Step]:
--- a/tests/specs/versions_spec.py
+++ b/tests/specs/versions_spec.py
@@ -1,4 +1,4 @@
-"""Specify which version of a configuration is in force across returns."""
+"""Specify the configuration in force across restores of the store."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -12,21 +12,21 @@
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """Name the safeguards that can be removed."""
 
     STORED_VERSION = "the store's document is compared by its version"
     COPIED_VERSION = "a peer's copy is compared by its version"
 
 
 class Proxy(NamedTuple):
-    """Hold what one proxy has in force, and the revision that it came with."""
+    """Hold the version that one proxy has in force, and its revision."""
 
     version: int = 0
     revision: int = 0
 
 
 class State(NamedTuple):
-    """Hold the operator's newest version, the store's, and two proxies."""
+    """Hold the operator's newest version, the stored one and two proxies."""
 
     written: int = 0
     stored: int = 0
@@ -40,7 +40,7 @@
 
 
 def specify_versions(removed: Safeguard | None = None) -> Specification:
-    """Return an operator, a store that may go back, and two proxies."""
+    """Return an operator, a store that may be restored, and two proxies."""
     return Specification(
         'versions',
         State._fields,
@@ -51,7 +51,7 @@
 
 
 def is_newest_everywhere(fields: dict[str, Any]) -> bool:
-    """Tell whether all proxies have the last version in force."""
+    """Return whether all proxies have the last version in force."""
     return all(proxy.version == LAST_VERSION for proxy in fields['proxies'])
 
 
@@ -60,7 +60,7 @@
 
 
 class _VersionSteps:
-    """List what may happen next."""
+    """List the possible steps."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
@@ -72,10 +72,12 @@
             proxy, peer = state.proxies[index], state.proxies[1 - index]
             stored = Proxy(state.stored, state.revision)
             if self._is_newer(Safeguard.STORED_VERSION, stored, proxy):
-                label = f"{index} takes the store's {stored.version}"
+                label = (
+                    f'{index} applies version {stored.version} from the store'
+                )
                 steps.append((label, _put(state, index, stored)))
             if self._is_newer(Safeguard.COPIED_VERSION, peer, proxy):
-                label = f'{index} takes the copy {peer.version}'
+                label = f'{index} applies version {peer.version} from its peer'
                 steps.append((label, _put(state, index, peer)))
         return steps
 
@@ -91,7 +93,7 @@
 
 
 def _list_store_steps(state: State) -> Iterator[Step]:
-    # Revisions only rise within an era, and are given out again in the next.
+    # Revisions rise within an era, and are reused in the next one.
     again = state._replace(stored=state.written, revision=state.revision + 1)
     if state.stored < state.written:
         yield 'the operator writes again', again
@@ -105,7 +107,7 @@
         for stored in range(state.stored):
             revision = min(stored, state.revision)
             yield (
-                f'the store comes back with {stored}',
+                f'the store is restored to version {stored}',
                 state._replace(
                     stored=stored,
                     revision=revision,
