--- a/src/sedgeshunt/customers/borrowing.py
+++ b/src/sedgeshunt/customers/borrowing.py
@@ -1,4 +1,4 @@
-"""Fill a part of a limit that has run dry with what other parts have left."""
+"""Refill an empty part of a limit with tokens borrowed from other parts."""
 
 from asyncio import Task, create_task, gather, shield
 from collections.abc import Sequence
@@ -14,17 +14,17 @@
 )
 from sedgeshunt.identifiers import CustomerId, Monotonic, ProxyId, Seconds
 
-# How much is asked for at once: what the part itself gains in so long.
+# Tokens requested at once, as the time in which the part itself gains as many.
 BORROWED_TIME = Seconds(0.5)
-# After all others had nothing to lend, they are asked again after so long.
-DRY_TIME = Seconds(0.1)
+# Pause before the next requests after no other server had tokens to lend.
+RETRY_DELAY = Seconds(0.1)
 
 
 class Borrower:
-    """Ask the other counters for what they have left."""
+    """Borrow tokens from the other quota servers."""
 
-    # Who lends has taken it out of its own part before it says so: what is lost
-    # on the way is spent by nobody.
+    # A lender removes tokens from its own part before it sends them, so tokens
+    # lost on the way are never spent and none is spent twice.
 
     def __init__(
         self,
@@ -32,13 +32,13 @@
         links: QuotaLinks,
         limit: Seconds,
     ) -> None:
-        """Wait at most `limit` for each counter's answer."""
+        """Wait at most `limit` for each server's answer."""
         self._own = own
         self._links = links
         self._limit = limit
         self._asking: dict[CustomerId, Task[Seconds]] = {}
-        # Until when nobody has anything to lend.
-        self._dry_until: dict[CustomerId, Monotonic] = {}
+        # Time before which no other server is asked again.
+        self._exhausted_until: dict[CustomerId, Monotonic] = {}
 
     async def fill(
         self,
@@ -46,12 +46,12 @@
         bucket: TokenBucket,
         plan: QuotaServerPlan,
     ) -> Seconds:
-        """Fill a customer's part; return the wait for the next operation."""
+        """Refill a customer's part; return the wait for the next operation."""
         now = read_clock()
-        if now < self._dry_until.get(customer, now):
+        if now < self._exhausted_until.get(customer, now):
             return bucket.find_wait(now)
-        # One asks for all: a storm of one customer would else ask all counters
-        # for each of its calls.
+        # Concurrent calls share one request: a burst of one customer would
+        # otherwise send requests to all servers for each of its calls.
         asking = self._asking.get(customer)
         if asking is None:
             asking = create_task(self._ask_others(customer, bucket, plan))
@@ -69,25 +69,25 @@
         plan: QuotaServerPlan,
     ) -> Seconds:
         waits = [bucket.find_wait(read_clock())]
-        # Those of other zones only once the own one has nothing left.
-        for counters in (plan.near, plan.far):
-            answers = await self._ask_at_once(customer, bucket, counters)
+        # Servers of other zones are asked only if the own zone has none left.
+        for servers in (plan.near, plan.far):
+            answers = await self._ask_at_once(customer, bucket, servers)
             for grant in answers:
                 bucket.add(grant.granted, read_clock())
                 waits.append(grant.wait)
             if any(answer.granted for answer in answers):
                 return Seconds(0)
-        self._dry_until[customer] = Monotonic(read_clock() + DRY_TIME)
+        self._exhausted_until[customer] = Monotonic(read_clock() + RETRY_DELAY)
         return min(waits)
 
     async def _ask_at_once(
         self,
         customer: CustomerId,
         bucket: TokenBucket,
-        counters: Sequence[ProxyId],
+        servers: Sequence[ProxyId],
     ) -> list[QuotaGrant]:
-        others = [name for name in counters if name != self._own]
-        request = _make_spend(customer, bucket, len(others))
+        others = [name for name in servers if name != self._own]
+        request = _make_request(customer, bucket, len(others))
         answers = await gather(
             *(self._links.ask(name, request, self._limit) for name in others),
         )
@@ -98,7 +98,7 @@
         ]
 
 
-def _make_spend(
+def _make_request(
     customer: CustomerId,
     bucket: TokenBucket,
     lenders: int,
--- a/src/sedgeshunt/customers/bucket.py
+++ b/src/sedgeshunt/customers/bucket.py
@@ -1,4 +1,4 @@
-"""Count operations against a rate, with a burst after a rest."""
+"""Limit operations to a rate and a burst with a token bucket."""
 
 from math import floor, inf
 
@@ -6,45 +6,45 @@
 
 
 class TokenBucket:
-    """Hold how many operations may begin now."""
+    """Hold one token for each operation that may begin now."""
 
-    # In any span at most rate x span + capacity begin; source: Tanenbaum,
-    # Computer Networks, on the token bucket.
+    # In any time span at most rate x span + capacity operations begin. Source:
+    # Tanenbaum, Computer Networks, on the token bucket.
 
     def __init__(self, rate: float, tokens: float, now: Monotonic) -> None:
-        """Fill by `rate` a second, from `tokens` on."""
+        """Start with `tokens` and add `rate` tokens a second."""
         self.rate = rate
         self._capacity = inf
         self._tokens = tokens
         self._filled_at = now
 
     def resize(self, rate: float, capacity: float, now: Monotonic) -> None:
-        """Fill by another rate from now on, up to `capacity`."""
+        """Change the rate from now on, and the capacity."""
         self._fill(now)
         self.rate = rate
         self._capacity = capacity
         self._tokens = min(self._tokens, capacity)
 
     def take(self, wanted: int, now: Monotonic) -> int:
-        """Take up to `wanted` whole tokens; return how many."""
+        """Take up to `wanted` whole tokens; return the number taken."""
         self._fill(now)
         taken = min(wanted, floor(self._tokens))
         self._tokens -= taken
         return taken
 
     def lend(self, wanted: int, now: Monotonic) -> int:
-        """Take up to `wanted` tokens for another bucket, half at the most."""
-        # Who lends all that it has would soon have to borrow itself.
+        """Take up to `wanted` tokens for another bucket, at most half."""
+        # A bucket that lends all its tokens would soon have to borrow itself.
         self._fill(now)
         return self.take(min(wanted, max(1, floor(self._tokens / 2))), now)
 
     def add(self, tokens: int, now: Monotonic) -> None:
-        """Put in what another bucket has lent."""
+        """Add tokens borrowed from another bucket."""
         self._fill(now)
         self._tokens = min(self._capacity, self._tokens + tokens)
 
     def find_wait(self, now: Monotonic) -> Seconds:
-        """Return the time until there is a whole token."""
+        """Return the time until a whole token is available."""
         self._fill(now)
         return Seconds(max(0, 1 - self._tokens) / self.rate)
 
--- a/src/sedgeshunt/customers/directory.py
+++ b/src/sedgeshunt/customers/directory.py
@@ -1,4 +1,4 @@
-"""Know the customers, whose key is whose, and how much each may ask."""
+"""Declare customers, their keys and their limits."""
 
 from collections.abc import Iterable, Mapping
 from hashlib import blake2s
@@ -8,19 +8,19 @@
 from sedgeshunt.exceptions import SedgeshuntError
 from sedgeshunt.identifiers import CustomerId, KeyDigest
 
-# The name of who calls where anybody may, and of the proxy's own work.
+# Callers without a customer, where that is allowed, and the proxy's own work.
 ANONYMOUS = CustomerId('')
 NO_KEY = KeyDigest('')
-# Two of a million keys have the same digest once in 37 million such sets.
+# Two of a million keys share a digest with a probability of 1 in 37 million.
 DIGEST_BYTES = 8
-LONGEST_NAME = 200
+MAX_NAME_LENGTH = 200
 
 
 class CustomerInvalid(SedgeshuntError):
-    """Say that a customer is not declared as one can be."""
+    """Report an invalid declaration of a customer."""
 
     def __init__(self, customer: str, reason: str) -> None:
-        """Keep whom it concerns; a key is never named."""
+        """Keep the customer and the reason, which never contains a key."""
         super().__init__(customer, reason)
         self.customer = customer
         self.reason = reason
@@ -34,7 +34,7 @@
     """Hold how many operations a customer may begin, over all proxies."""
 
     per_second: float
-    # Operations at once after a rest.
+    # Operations that may begin at once after an idle time.
     burst: float
 
 
@@ -43,12 +43,12 @@
 
     name: CustomerId
     keys: tuple[KeyDigest, ...]
-    # None: as many operations as it likes.
+    # None: the customer has no limit.
     limit: CustomerLimit | None = None
 
 
 class Identity(Struct, frozen=True):
-    """Tell in whose name a call is made, and which version says so."""
+    """Hold a caller's customer and key, and the version that maps them."""
 
     customer: CustomerId = ANONYMOUS
     key: KeyDigest = NO_KEY
@@ -62,20 +62,20 @@
     customers_by_key: Mapping[KeyDigest, CustomerId] = field(
         default_factory=dict,
     )
-    # What all customers with a limit may ask together, a second.
+    # Sum of the rates of all customers with a limit.
     per_second: float = 0
 
     def find_customer(self, key: KeyDigest) -> CustomerId | None:
-        """Return whose key it is, None for nobody's."""
+        """Return the customer that has the key, None for an unknown key."""
         return self.customers_by_key.get(key)
 
     def find_limit(self, customer: CustomerId) -> CustomerLimit | None:
-        """Return how much a customer may ask, None for all it likes."""
+        """Return a customer's limit, None if it has none."""
         known = self.customers.get(customer)
         return None if known is None else known.limit
 
     def find_rate_share(self, customer: CustomerId) -> float:
-        """Return a customer's part of all that customers may ask."""
+        """Return a customer's share of the sum of all customers' rates."""
         limit = self.find_limit(customer)
         if limit is None:
             return 0
@@ -83,7 +83,7 @@
 
 
 def digest_key(key: str) -> KeyDigest:
-    """Return what may be kept and passed on of a key."""
+    """Return the digest of a key, which may be stored and sent."""
     if not key:
         return NO_KEY
     digest = blake2s(key.encode(), digest_size=DIGEST_BYTES)
@@ -91,7 +91,7 @@
 
 
 def make_directory(customers: Iterable[Customer]) -> CustomerDirectory:
-    """Put customers together; raise CustomerInvalid."""
+    """Build the directory of customers; raise CustomerInvalid."""
     known: dict[CustomerId, Customer] = {}
     customers_by_key: dict[KeyDigest, CustomerId] = {}
     for customer in customers:
@@ -100,7 +100,7 @@
         if customer.name in known:
             raise CustomerInvalid(customer.name, 'declare it once')
         known[customer.name] = customer
-        _note_keys(customer, customers_by_key)
+        _add_keys(customer, customers_by_key)
     return CustomerDirectory(
         known,
         customers_by_key,
@@ -113,7 +113,7 @@
     return sum(limit.per_second for limit in limits if limit is not None)
 
 
-def _note_keys(
+def _add_keys(
     customer: Customer,
     customers_by_key: dict[KeyDigest, CustomerId],
 ) -> None:
@@ -127,10 +127,10 @@
 
 
 def _check_name(name: CustomerId) -> None:
-    if not (name.isprintable() and 0 < len(name) <= LONGEST_NAME):
-        reason = f'name it with 1 to {LONGEST_NAME} printable characters'
+    if not (name.isprintable() and 0 < len(name) <= MAX_NAME_LENGTH):
+        reason = f'name it with 1 to {MAX_NAME_LENGTH} printable characters'
         raise CustomerInvalid(name, reason)
-    # It is one word of the line by which connections to targets begin.
+    # The name is one word of the first line on connections to targets.
     if any(map(str.isspace, name)):
         raise CustomerInvalid(name, 'name it without blanks')
 
--- a/src/sedgeshunt/customers/gate.py
+++ b/src/sedgeshunt/customers/gate.py
@@ -1,4 +1,4 @@
-"""Let a customer's operations begin as far as its limit goes."""
+"""Admit customers' operations up to their limits."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 from sedgeshunt.identifiers import CustomerId, Monotonic, ProxyId, Seconds
 from sedgeshunt.requests.outcome import Cause, NotRun
 
-# A counter answers within two ways and its own work; one that is silent for so
-# long is passed over.
-ASK_LIMIT = Seconds(0.1)
-# A customer that was refused is refused here for so long at the most before
-# its counter is asked again: others may have left room for it.
-LONGEST_REST = Seconds(0.2)
-SHORTEST_RETRY = Seconds(0.02)
-NO_COUNTER_RETRY = Seconds(0.5)
+# A quota server answers within one round trip and the time of its own work;
+# after this long without an answer, the next one is asked.
+REQUEST_TIMEOUT = Seconds(0.1)
+# Longest time for which a refused customer is refused without asking a quota
+# server: tokens may become available there in the meantime.
+MAX_REFUSAL_TIME = Seconds(0.2)
+MIN_RETRY_DELAY = Seconds(0.02)
+NO_SERVER_RETRY_DELAY = Seconds(0.5)
 
 FindLimit = Callable[[CustomerId], CustomerLimit | None]
 
@@ -37,7 +37,7 @@
 
 
 class QuotaGate(CustomerGate):
-    """Ask the proxies that count a customer's operations."""
+    """Ask the quota servers whether an operation may begin."""
 
     def __init__(
         self,
@@ -46,47 +46,52 @@
         quota_server: QuotaServer,
         find_limit: FindLimit,
     ) -> None:
-        """Count here where this proxy is one of them."""
+        """Use `quota_server` directly where this proxy is asked itself."""
         self._own = own
         self._links = links
         self._quota_server = quota_server
         self._find_limit = find_limit
-        # Customers that have no room, and until when.
-        self._resting: dict[CustomerId, Monotonic] = {}
+        # Customers refused without asking a quota server, and until when.
+        self._refused_until: dict[CustomerId, Monotonic] = {}
 
     async def admit(self, identity: Identity) -> NotRun | None:
         """Count one operation; return why it may not begin."""
         limit = self._find_limit(identity.customer)
         if limit is None:
             return None
-        rest = self._find_rest(identity.customer)
-        if rest is not None:
-            return _refuse(identity, limit, rest, self._own)
-        grant = await self._spend(QuotaRequest(identity.customer), limit)
+        refusal_time = self._find_refusal_time(identity.customer)
+        if refusal_time is not None:
+            return _refuse(identity, limit, refusal_time, self._own)
+        grant = await self._request_quota(
+            QuotaRequest(identity.customer),
+            limit,
+        )
         if grant is None:
-            return _refuse_uncounted(identity)
+            return _refuse_unreachable(identity)
         if grant.granted:
             return None
-        rest = min(LONGEST_REST, grant.wait)
-        self._resting[identity.customer] = Monotonic(read_clock() + rest)
-        return _refuse(identity, limit, grant.wait, grant.counter)
+        refusal_time = min(MAX_REFUSAL_TIME, grant.wait)
+        self._refused_until[identity.customer] = Monotonic(
+            read_clock() + refusal_time,
+        )
+        return _refuse(identity, limit, grant.wait, grant.server)
 
     async def answer(self, request: QuotaRequest) -> QuotaGrant:
-        """Answer another proxy's question."""
+        """Answer a quota request of another proxy."""
         return await self._quota_server.grant(
             request,
             self._find_limit(request.customer),
         )
 
-    def _find_rest(self, customer: CustomerId) -> Seconds | None:
+    def _find_refusal_time(self, customer: CustomerId) -> Seconds | None:
         now = read_clock()
-        until = self._resting.get(customer)
+        until = self._refused_until.get(customer)
         if until is None or until <= now:
-            self._resting.pop(customer, None)
+            self._refused_until.pop(customer, None)
             return None
         return Seconds(until - now)
 
-    async def _spend(
+    async def _request_quota(
         self,
         request: QuotaRequest,
         limit: CustomerLimit,
@@ -99,9 +104,9 @@
                     limit,
                 )
             else:
-                grant = await self._links.ask(name, request, ASK_LIMIT)
+                grant = await self._links.ask(name, request, REQUEST_TIMEOUT)
             if grant is not None and not grant.is_elsewhere:
-                return replace(grant, counter=name)
+                return replace(grant, server=name)
         return None
 
 
@@ -116,13 +121,13 @@
         f'customer {identity.customer} (key {identity.key}, version '
         + f'{identity.version}) has begun {limit.per_second:g} operations a '
         + f'second and its burst of {limit.burst:g}, by {counter}',
-        Seconds(max(SHORTEST_RETRY, wait)),
+        Seconds(max(MIN_RETRY_DELAY, wait)),
     )
 
 
-def _refuse_uncounted(identity: Identity) -> NotRun:
+def _refuse_unreachable(identity: Identity) -> NotRun:
     return NotRun(
         Cause.CUSTOMER_LIMIT,
         f'nobody who counts for customer {identity.customer} is reached',
-        NO_COUNTER_RETRY,
+        NO_SERVER_RETRY_DELAY,
     )
--- a/src/sedgeshunt/customers/part_assignment.py
+++ b/src/sedgeshunt/customers/part_assignment.py
@@ -1,59 +1,60 @@
-"""Hold the parts of limits that proxies have given to this counter."""
+"""Assign each proxy's part of all limits to one quota server at a time."""
 
 from sedgeshunt.clocks import read_boottime
 from sedgeshunt.identifiers import Boottime, ProxyId, Seconds
 
-# A part is given with each heartbeat, of which several fit into this time.
-HELD_FOR = Seconds(1.5)
+# An assignment is renewed by heartbeats, of which several fit into this time.
+HOLD_TIME = Seconds(1.5)
 
 
 class HeldParts:
-    """Know which proxies' parts of all limits are counted here."""
+    """Track the proxies whose parts of all limits this server holds."""
 
-    # Each proxy brings an equal part of every limit to the counter that it
-    # asks. So those that are cut off together have as much of each limit as
-    # they are proxies, whichever counters are among them, and all together
-    # have no more than all of it. Safeguard: a part that two counters had would
-    # be spent twice. It is held for a time that counts from what the giver
-    # last heard of this counter's own clock, and the giver gives it to nobody
-    # else before a time as long has gone by since it was sent.
+    # Each proxy assigns an equal part of every limit to the quota server that
+    # it asks. So the proxies on one side of a network partition have a share of
+    # each limit that is proportional to their number, whichever servers are
+    # among them, and all sides together have no more than the limit.
+    # Safeguard: a part held by two servers would be used twice. A server holds
+    # a part for a time that starts at the last reading of its own clock that
+    # the proxy received, and the proxy assigns the part to no other server
+    # before the same time has passed since it last sent the assignment.
 
     def __init__(self) -> None:
-        """Hold nobody's."""
+        """Start without parts."""
         self._until: dict[ProxyId, Boottime] = {}
 
-    def hold(self, giver: ProxyId, heard: Boottime) -> None:
-        """Hold a proxy's part; `heard` is this clock as the proxy knew it."""
-        until = Boottime(heard + HELD_FOR)
-        self._until[giver] = max(until, self._until.get(giver, until))
+    def hold(self, proxy: ProxyId, echo: Boottime) -> None:
+        """Hold a proxy's part; `echo` is this clock as the proxy knew it."""
+        until = Boottime(echo + HOLD_TIME)
+        self._until[proxy] = max(until, self._until.get(proxy, until))
 
     def count(self) -> int:
-        """Count the parts that are held now."""
+        """Return the number of parts that are held now."""
         now = read_boottime()
-        for giver, until in tuple(self._until.items()):
+        for proxy, until in tuple(self._until.items()):
             if until <= now:
-                self._until.pop(giver)
+                self._until.pop(proxy)
         return len(self._until)
 
 
 class PartAssignment:
-    """Decide which counter has this proxy's part of all limits."""
+    """Decide which quota server holds this proxy's part of all limits."""
 
     def __init__(self) -> None:
-        """Give it to nobody yet."""
+        """Start without an assignment."""
         self._holder: ProxyId | None = None
         self._free_at = Boottime(0)
 
-    def assign(self, counter: ProxyId, wanted: ProxyId | None) -> bool:
-        """Return whether a heartbeat to a counter is to bring the part.
+    def assign(self, server: ProxyId, wanted: ProxyId | None) -> bool:
+        """Return whether a heartbeat to `server` assigns it the part.
 
-        It goes to the `wanted` one once nobody else can hold it any more.
+        The `wanted` server gets the part once no other one can hold it.
         """
         now = read_boottime()
         if self._holder != wanted and now < self._free_at:
             return False
         self._holder = wanted
-        if counter != wanted:
+        if server != wanted:
             return False
-        self._free_at = Boottime(now + HELD_FOR)
+        self._free_at = Boottime(now + HOLD_TIME)
         return True
--- a/src/sedgeshunt/customers/quota_server.py
+++ b/src/sedgeshunt/customers/quota_server.py
@@ -1,4 +1,4 @@
-"""Count what customers begin against this proxy's part of their limits."""
+"""Grant customers' operations from the parts of limits held here."""
 
 from sedgeshunt.clocks import read_boottime, read_clock
 from sedgeshunt.customers.borrowing import Borrower
@@ -12,20 +12,21 @@
 )
 from sedgeshunt.identifiers import CustomerId, Monotonic, ProxyId, Seconds
 
-# A part holds at least one operation, or customers of few would never begin.
-SMALLEST_PART = 1
-# Share of the operations over a limit that are allowed, which the parts hold
-# together so that none of them is soon dry; the rest is for changes of who
-# counts.
-SHARE_FOR_PARTS = 0.5
+# Least extra tokens of a part: with less than one token, a customer with a low
+# limit could never begin an operation.
+MIN_SPARE_TOKENS = 1
+# Share of the allowed excess over a limit that the parts hold together, so that
+# they don't run out soon; the rest covers changes of quota servers.
+SLACK_FOR_PARTS = 0.5
 
 
 class QuotaServer:
-    """Keep this proxy's part of each customer's limit."""
+    """Grant operations from the parts of each limit that are held here."""
 
-    # The parts of all counters sum up to the limit, and a part is spent by its
-    # counter alone; so the limit holds however the network falls apart, and no
-    # two have to agree. What a part has is in customers/part_assignment.py.
+    # The parts of all quota servers sum up to the limit, and each part is used
+    # by one server alone. So the limit holds under any network partition
+    # without agreement between servers. customers/part_assignment.py defines
+    # which parts a server holds.
 
     def __init__(
         self,
@@ -35,16 +36,15 @@
         borrow_limit: Seconds,
         slack: float = 0,
     ) -> None:
-        """Count for nobody yet; wait `borrow_limit` for what others lend.
+        """Start without parts; wait `borrow_limit` for each lender.
 
-        All proxies together may let `slack` operations more begin than a limit
-        allows.
+        All proxies together may admit up to `slack` operations over a limit.
         """
         self._own = own
         self._links = links
         self._held = held
         self._borrower = Borrower(own, links, borrow_limit)
-        self._slack = slack * SHARE_FOR_PARTS
+        self._slack = slack * SLACK_FOR_PARTS
         self._serving_since = Monotonic(0)
         self._is_serving = False
         self._buckets: dict[CustomerId, TokenBucket] = {}
@@ -54,7 +54,7 @@
         request: QuotaRequest,
         limit: CustomerLimit | None,
     ) -> QuotaGrant:
-        """Grant operations of a customer that may ask as much as `limit`."""
+        """Grant operations of a customer with this limit; None: no limit."""
         if limit is None:
             return QuotaGrant(request.wanted)
         plan = self._links.plan()
@@ -72,13 +72,13 @@
         return QuotaGrant(granted, Seconds(0) if granted else wait)
 
     def refresh_parts(self) -> int:
-        """Begin or end counting as parts come and go; count them."""
+        """Start or stop serving as parts are held; return their number."""
         if self._links.keeps_own_part():
             self._held.hold(self._own, read_boottime())
         count = self._held.count()
         if count and not self._is_serving:
-            # Whoever counted before may have spent all of this part: a full
-            # bucket would let the same customer begin as much once more.
+            # The previous server may have used up this part: full buckets
+            # would let a customer begin as many operations once more.
             self._buckets.clear()
             self._serving_since = read_clock()
         self._is_serving = count > 0
@@ -91,10 +91,10 @@
         part: float,
     ) -> TokenBucket:
         rate = limit.per_second * part
-        spare = max(SMALLEST_PART, self._slack * part)
+        spare = max(MIN_SPARE_TOKENS, self._slack * part)
         bucket = self._buckets.get(customer)
         if bucket is None:
-            # As it would be now, had it been there since this proxy counts.
+            # Filled as if it existed since this proxy started serving.
             bucket = TokenBucket(rate, spare, self._serving_since)
             self._buckets[customer] = bucket
         bucket.resize(rate, limit.burst * part + spare, read_clock())
--- a/src/sedgeshunt/customers/quotas.py
+++ b/src/sedgeshunt/customers/quotas.py
@@ -1,4 +1,4 @@
-"""Say how proxies ask each other to count what customers begin."""
+"""Define the quota requests between proxies for customers' limits."""
 
 from abc import ABC, abstractmethod
 
@@ -8,52 +8,52 @@
 
 
 class QuotaRequest(Struct, frozen=True):
-    """Ask for room for operations of a customer."""
+    """Ask for a number of operations of a customer."""
 
     customer: CustomerId
     wanted: int = 1
-    # Another counter asks, for its own part of the limit.
+    # Whether another quota server borrows for its own part of the limit.
     is_borrowed: bool = False
 
 
 class QuotaGrant(Struct, frozen=True):
-    """Tell how many operations may begin."""
+    """Hold how many operations may begin."""
 
     granted: int
-    # Until there is room for one more.
+    # Time until one more operation may begin.
     wait: Seconds = Seconds(0)
-    # The answering proxy does not count for this customer.
+    # Whether the answering proxy is no quota server now.
     is_elsewhere: bool = False
-    # Who has counted, as the asking proxy notes it.
-    counter: ProxyId = ProxyId('')
+    # The quota server that answered, set by the asking proxy.
+    server: ProxyId = ProxyId('')
 
 
 class QuotaServerPlan(Struct, frozen=True):
-    """Hold who counts for the callers of one proxy."""
+    """Hold the quota servers for the callers of one proxy."""
 
-    # Of the own availability zone, the one to ask first at the beginning.
+    # Those of the own availability zone, in the order of preference.
     near: tuple[ProxyId, ...]
     far: tuple[ProxyId, ...]
-    # Proxies among which limits are shared out.
+    # Number of proxies that the limits are divided among.
     fleet: int
 
 
 class QuotaLinks(ABC):
-    """Reach the proxies that count."""
+    """Send requests to the quota servers."""
 
     @abstractmethod
     def plan(self) -> QuotaServerPlan:
-        """Tell who counts, by the instances that are known now."""
+        """Return the quota servers among the instances known now."""
 
     @abstractmethod
     def keeps_own_part(self) -> bool:
-        """Return whether this proxy counts its own part of limits itself."""
+        """Return whether this proxy holds its own part of limits itself."""
 
     @abstractmethod
     async def ask(
         self,
-        counter: ProxyId,
+        server: ProxyId,
         request: QuotaRequest,
         limit: Seconds,
     ) -> QuotaGrant | None:
-        """Ask a counter; None when it gives no answer within `limit`."""
+        """Ask a quota server; return None without an answer in `limit`."""
--- a/src/sedgeshunt/membership/quota_links.py
+++ b/src/sedgeshunt/membership/quota_links.py
@@ -78,12 +78,12 @@
 
     async def ask(
         self,
-        counter: ProxyId,
+        server: ProxyId,
         request: QuotaRequest,
         limit: Seconds,
     ) -> QuotaGrant | None:
         """Ask a quota server; return None without an answer in `limit`."""
-        link = self._neighbours.find_link(counter)
+        link = self._neighbours.find_link(server)
         if link is None or not link.is_answering():
             return None
         return await link.request_quota(request, limit)
@@ -121,6 +121,6 @@
     )
 
 
-def _spread(own: ProxyId, counters: Sequence[ProxyId]) -> tuple[ProxyId, ...]:
+def _spread(own: ProxyId, servers: Sequence[ProxyId]) -> tuple[ProxyId, ...]:
     # Instances prefer different servers, so that parts are used up evenly.
-    return tuple(sorted(counters, key=lambda name: weigh(own, name)))
+    return tuple(sorted(servers, key=lambda name: weigh(own, name)))
