--- a/tests/features/replacement.feature
+++ b/tests/features/replacement.feature
@@ -61,7 +61,7 @@
     When "db-north" freezes
     And the primary freezes
     And 0.25 s go by
-    And "db-east" goes on
+    And "db-east" resumes
     And 2 s go by
     Then "db-east" leads
     And every acknowledged write is on the primary
@@ -86,7 +86,7 @@
     And a caller of "settle" at "west-1" writes every 20 ms
     When the primary freezes
     And 1.2 s go by
-    And the new primary crashes as "db-east" goes on
+    And the new primary crashes as "db-east" resumes
     And 3 s go by
     Then "db-east" does not lead
     And the terms of acknowledged writes never go down
@@ -151,7 +151,7 @@
     And a caller of "settle" at "west-1" writes every 20 ms
     When the primary freezes
     And "east-1" is killed as soon as it has ordered
-    And "db-east" goes on
+    And "db-east" resumes
     And 6 s go by
     Then "db-east" does not lead
     And every acknowledged write is on the primary
@@ -171,7 +171,7 @@
     And the primary crashes
     And 3 s go by
     Then no promotion was ordered
-    When "db-west" goes on
+    When "db-west" resumes
     And 2 s go by
     Then "db-west" leads
 
@@ -192,7 +192,7 @@
     And 5 s go by
     Then no promotion was ordered
     When "db-west" is listed again
-    And "db-west" goes on
+    And "db-west" resumes
     And 2 s go by
     Then "db-west" leads
 
--- a/tests/features/steps/replacement_steps.py
+++ b/tests/features/steps/replacement_steps.py
@@ -119,7 +119,7 @@
     context.nodes.group.targets[name].thawed.clear()
 
 
-@when('"{name}" goes on')
+@when('"{name}" resumes')
 def thaw_target(context: Any, name: str) -> None:
     context.nodes.time.act(context.nodes.group.targets[name].thawed.set)
 
@@ -145,7 +145,7 @@
         context.nodes.restart(name)
 
 
-@when('the new primary crashes as "{name}" goes on')
+@when('the new primary crashes as "{name}" resumes')
 def crash_next(context: Any, name: str) -> None:
     group = context.nodes.group
     group.find_primary().is_down = True
--- a/tests/specs/leaders_spec.py
+++ b/tests/specs/leaders_spec.py
@@ -70,7 +70,7 @@
 
 
 class _LeaderSteps:
-    """List the possible steps from a state."""
+    """Generate the steps of the specification."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
--- a/tests/specs/succession_spec.py
+++ b/tests/specs/succession_spec.py
@@ -99,7 +99,7 @@
 
 
 class _SuccessionSteps:
-    """List the possible steps from a state."""
+    """Generate the steps of the specification."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
