--- a/src/sedgeshunt/ownership/lease.py
+++ b/src/sedgeshunt/ownership/lease.py
@@ -164,15 +164,15 @@
             return False
         if not self.is_fresh():
             return True
-        asked_at = self._renewal_started_at
-        return asked_at is not None and (
-            read_boottime() - asked_at > ANSWER_TIMEOUT
+        sent_at = self._renewal_started_at
+        return sent_at is not None and (
+            read_boottime() - sent_at > ANSWER_TIMEOUT
         )
 
     def has_prompt_store(self, since: Boottime) -> bool:
         """Return whether a request sent after `since` was answered quickly."""
-        asked_at = self._renewed_at - self._answer_time
-        is_new = asked_at >= since and self.is_fresh()
+        sent_at = self._renewed_at - self._answer_time
+        is_new = sent_at >= since and self.is_fresh()
         return is_new and self._answer_time < ANSWER_TIMEOUT
 
     def is_cut_off_from_store(self) -> bool:
@@ -205,8 +205,8 @@
     def wake_if_needed(self) -> None:
         """Renew the lease at once if the state of the store is unclear."""
         is_silent = self.measure_silence() > SILENCE_CHECK_DELAY
-        is_asked = is_silent or self.has_stale_evidence() or self.id is None
-        if is_asked or self._needs_short_lease() != self.is_short():
+        is_unclear = is_silent or self.has_stale_evidence() or self.id is None
+        if is_unclear or self._needs_short_lease() != self.is_short():
             self._renew_now.set()
 
     def find_expiry(self, lease: int) -> Boottime:
@@ -260,7 +260,7 @@
         if self.is_released:
             return
         # Counted from before the call, as the store counts from its arrival.
-        asked_at = read_boottime()
+        sent_at = read_boottime()
         is_short = self._needs_short_lease()
         if self.id is None or is_short != self.is_short():
             await self._take_lease(SHORT_LEASE if is_short else LONG_LEASE)
@@ -272,9 +272,9 @@
             # The answer to the registration was lost, or it was committed late
             # under a lease that has expired since.
             await self._register(self.id)
-        self._record_renewal(asked_at)
+        self._record_renewal(sent_at)
         self._renewed_at = read_boottime()
-        self._answer_time = Seconds(self._renewed_at - asked_at)
+        self._answer_time = Seconds(self._renewed_at - sent_at)
 
     async def _take_lease(self, timing: LeaseTiming) -> None:
         """Register under a new lease; the previous one expires by itself."""
@@ -328,16 +328,16 @@
         """Renew through a peer, as the store may refuse this instance only."""
         if self.id is None or self._relay is None:
             return False
-        asked_at = read_boottime()
+        sent_at = read_boottime()
         lease = self.id
         is_kept = await self._relay.keep_lease(lease, self._store.era)
         is_kept = is_kept and lease == self.id
         if is_kept:
-            self._record_renewal(asked_at)
+            self._record_renewal(sent_at)
         return is_kept
 
-    def _record_renewal(self, asked_at: Boottime) -> None:
-        end = asked_at + self._timing.duration - CLOCK_DRIFT_MARGIN
+    def _record_renewal(self, sent_at: Boottime) -> None:
+        end = sent_at + self._timing.duration - CLOCK_DRIFT_MARGIN
         self._held_until = Boottime(max(self._held_until, end))
 
     async def _register(self, lease: int) -> None:
--- a/src/sedgeshunt/ownership/promises.py
+++ b/src/sedgeshunt/ownership/promises.py
@@ -1,4 +1,4 @@
-"""Track the promises by which candidates let an owner go on."""
+"""Track the promises of candidates, which extend an ownership."""
 
 from collections.abc import Iterable
 
--- a/src/sedgeshunt/registry/configuration.py
+++ b/src/sedgeshunt/registry/configuration.py
@@ -84,8 +84,8 @@
         # Followers receive a large document one after the other. Without this
         # check each of their peers would send it to them meanwhile.
         document = self.source.value
-        is_handed = read_boottime() - self._applied_at < MAX_SPREAD_TIME
-        if known and is_handed and len(document) >= LARGE_DOCUMENT_BYTES:
+        is_spreading = read_boottime() - self._applied_at < MAX_SPREAD_TIME
+        if known and is_spreading and len(document) >= LARGE_DOCUMENT_BYTES:
             return None
         return document
 
--- a/src/sedgeshunt/registry/store_view.py
+++ b/src/sedgeshunt/registry/store_view.py
@@ -244,11 +244,11 @@
 
     async def _run_until_behind(
         self,
-        *works: Coroutine[None, None, None],
+        *coroutines: Coroutine[None, None, None],
     ) -> bool:
         """Run until one coroutine ends; return whether the view lags behind."""
         self._is_behind.clear()
-        tasks = [create_task(work) for work in works]
+        tasks = [create_task(coroutine) for coroutine in coroutines]
         behind = create_task(self._is_behind.wait())
         try:
             await wait((behind, *tasks), return_when=FIRST_COMPLETED)
--- a/tests/specs/returns_spec.py
+++ b/tests/specs/returns_spec.py
@@ -22,7 +22,7 @@
     """Name the safeguards that can be removed."""
 
     LEASE_ERA = 'a lease of an older era is not renewed'
-    RETURN_WAIT = 'a claim after a restore waits for older leases'
+    RESTORE_WAIT = 'a claim after a restore waits for older leases'
     PROMISE_END = 'a claim after a restore waits for all promises'
     OWN_KEY = 'an own key is no proof in a store that lost a claim'
     HELD = 'only an owner that is still valid claims at once'
@@ -178,7 +178,7 @@
             if state.store.holder == index:
                 if self._removed is Safeguard.OWN_KEY:
                     return True
-            if proxy.wait and self._removed is not Safeguard.RETURN_WAIT:
+            if proxy.wait and self._removed is not Safeguard.RESTORE_WAIT:
                 return False
         return not proxy.bound_for or self._removed is Safeguard.PROMISE_END
 
