--- a/src/sedgeshunt/groups/invariants.py
+++ b/src/sedgeshunt/groups/invariants.py
@@ -24,7 +24,7 @@
     detail: str
 
 
-class AnswerOrder(Enum):
+class AnswerRelation(Enum):
     """How an answer relates to the target's previous answer."""
 
     NEXT = 'next'
@@ -34,13 +34,13 @@
     BROKEN = 'broken'
 
 
-def classify_answer(earlier: Observation, later: Observation) -> AnswerOrder:
+def classify_answer(earlier: Observation, later: Observation) -> AnswerRelation:
     """Return how `later` relates to `earlier`."""
     if find_regression(earlier.status, later.status) is None:
-        return AnswerOrder.NEXT
+        return AnswerRelation.NEXT
     if later.asked_at < earlier.answered_at:
-        return AnswerOrder.LATE
-    return AnswerOrder.BROKEN
+        return AnswerRelation.LATE
+    return AnswerRelation.BROKEN
 
 
 def find_regression(
--- a/src/sedgeshunt/groups/members.py
+++ b/src/sedgeshunt/groups/members.py
@@ -4,7 +4,7 @@
 
 from sedgeshunt.clocks import PauseWatch, read_clock
 from sedgeshunt.groups.invariants import (
-    AnswerOrder,
+    AnswerRelation,
     Violation,
     classify_answer,
     find_regression,
@@ -55,11 +55,11 @@
         if earlier is None:
             self._latest[target] = observation
             return None
-        order = classify_answer(earlier, observation)
-        if order is AnswerOrder.NEXT:
+        relation = classify_answer(earlier, observation)
+        if relation is AnswerRelation.NEXT:
             self._latest[target] = observation
             self._excluded.discard(target)
-        if order is not AnswerOrder.BROKEN or target in self._excluded:
+        if relation is not AnswerRelation.BROKEN or target in self._excluded:
             return None
         # Excluded until its answers reach its last recorded one again. Once
         # copied from the primary, the log is complete again.
