--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -1,4 +1,4 @@
-"""Check who may call, in whose name, and how much."""
+"""Check customers' keys, sessions and limits."""
 
 from asyncio import Task, create_task, gather, sleep
 from bisect import bisect_left
@@ -34,15 +34,15 @@
 MILLISECONDS = 1000
 PERCENT = 100
 WINDOW = 5
-# Over a limit, in a window: a tenth, and so many.
-OVERAGE = 0.1
-SLACK = 20
+# Allowed excess over a limit in a window: a share of it, and operations.
+EXCESS_SHARE = 0.1
+EXCESS_OPERATIONS = 20
 # Time for a new configuration to reach all proxies.
-SPREAD_TIME = 1.5
+PROPAGATION_TIME = 1.5
 
 
 def make_customer(name: str, rate: float) -> Customer:
-    """Return a customer whose key is made of its name."""
+    """Return a customer with a key derived from its name."""
     return Customer(
         CustomerId(name),
         (find_key(name),),
@@ -51,12 +51,12 @@
 
 
 def find_key(name: str) -> KeyDigest:
-    """Return what is known of a customer's key."""
+    """Return the digest of a customer's key."""
     return digest_key(f'{name}-key')
 
 
 def split(names: str) -> list[str]:
-    """Return the names of a list."""
+    """Split a comma-separated list of names."""
     return [name.strip() for name in names.split(',')]
 
 
@@ -98,7 +98,7 @@
     bench.run(_run_all(call(name, node) for name, node in pairs))
 
 
-@then('each statement ran in the name of its own customer')
+@then('each statement ran on a connection of its own customer')
 def check_names(context: Any) -> None:
     runs = context.nodes.group.runs
     assert len(runs) >= 2 * len(context.customers), len(runs)
@@ -106,7 +106,7 @@
     assert not wrong, wrong[:3]
 
 
-@then('no key was told to a target, a peer or a log')
+@then('no key was sent to a target or a peer, or logged')
 def check_keys(context: Any) -> None:
     bench: NodeBench = context.nodes
     told = [repr(run) for run in bench.group.runs]
@@ -151,10 +151,10 @@
     connect(context, database, key, context.aside)
 
 
-@when('that proxy keeps to the configuration that it has')
-def keep_version(context: Any) -> None:
+@when('that proxy gets no new configuration')
+def stop_versions(context: Any) -> None:
     service = context.nodes.nodes[context.aside].service
-    service._configuration.take = _take_nothing
+    service._configuration.take = _ignore_version
 
 
 @when('a caller with the key "{key}" has begun a transaction at "{node}"')
@@ -165,8 +165,8 @@
         assert isinstance(bench.ask(context.inside, text), Ok)
 
 
-@when('the keys of "{names}" are taken away')
-def take_keys(context: Any, names: str) -> None:
+@when('the keys of "{names}" are revoked')
+def revoke_keys(context: Any, names: str) -> None:
     bench: NodeBench = context.nodes
     gone = split(names)
     bench.customers = [
@@ -174,7 +174,7 @@
         for one in bench.customers or ()
     ]
     bench.declare_again()
-    bench.wait(SPREAD_TIME)
+    bench.wait(PROPAGATION_TIME)
 
 
 @then('the connected caller is told "{code}"')
@@ -182,7 +182,7 @@
     _check_code(context, context.caller, 'READ turn', code)
 
 
-@then('the transaction goes on to its end')
+@then('the transaction can be completed')
 def check_inside(context: Any) -> None:
     bench: NodeBench = context.nodes
     for text in ('WRITE inside 2', 'COMMIT'):
@@ -201,7 +201,7 @@
         bar,
         replace(hotel, keys=bar.keys),
     ],
-    'a customer stands twice': lambda bar, hotel: [bar, bar],
+    'a customer is declared twice': lambda bar, hotel: [bar, bar],
     'a rate is 0': lambda bar, hotel: [
         replace(bar, limit=CustomerLimit(0, 1)),
         hotel,
@@ -222,7 +222,7 @@
     assert bench.customers is not None
     bench.customers = _FAULTS[fault](*bench.customers)
     bench.declare_again()
-    bench.wait(SPREAD_TIME)
+    bench.wait(PROPAGATION_TIME)
 
 
 @then('it is refused with "{words}", which names no key')
@@ -239,7 +239,7 @@
     bench: NodeBench = context.nodes
     context.told = {}
     _start_writing(context, name, rate, list(bench.nodes), time)
-    context.storm_time = time
+    context.write_time = time
 
 
 @when(
@@ -249,7 +249,7 @@
 def press(context: Any, count: int, name: str, time: float) -> None:
     bench: NodeBench = context.nodes
     context.told = {name: Callers(bench)}
-    context.storm_time = time
+    context.write_time = time
     for _, node in zip(range(count), cycle(bench.nodes), strict=False):
         session = bench.open(node, 'settle', find_key(name))
         bench.time.watch(context.told[name].write_on(session, WATCH_EVERY))
@@ -259,8 +259,8 @@
 def write_meanwhile(context: Any, name: str, rate: float) -> None:
     bench: NodeBench = context.nodes
     nodes = list(bench.nodes)
-    _start_writing(context, name, rate, nodes, context.storm_time)
-    bench.wait(context.storm_time + 1)
+    _start_writing(context, name, rate, nodes, context.write_time)
+    bench.wait(context.write_time + 1)
 
 
 @when('"{name}" writes {rate:g} times a second at "{node}" for {time:g} s')
@@ -302,7 +302,7 @@
     assert len(quick) * PERCENT >= share * len(told), (len(quick), len(told))
 
 
-@when('all zones are cut off from each other')
+@when('all zones are partitioned from each other')
 def cut_all(context: Any) -> None:
     bench: NodeBench = context.nodes
     places = [node.place for node in bench.nodes.values()]
@@ -314,8 +314,8 @@
     bench.wait(1)
 
 
-@when('all counters but one are cut off from the other proxies')
-def cut_counters(context: Any) -> None:
+@when('all quota servers but one are partitioned from the other proxies')
+def cut_quota_servers(context: Any) -> None:
     bench: NodeBench = context.nodes
     plan = bench.nodes['east-1'].service._quota_links.plan()
     _, *gone = sorted((*plan.near, *plan.far))
@@ -369,7 +369,7 @@
 
 @then(
     'in any 5 s at most {rate:g} a second and the burst of "{name}" were'
-    + ' allowed of late',
+    + ' allowed lately',
 )
 def check_allowed_late(context: Any, rate: float, name: str) -> None:
     since = context.nodes.time.read_now() - WINDOW - 1
@@ -388,14 +388,14 @@
     assert allowed * PERCENT >= share * context.asked, (allowed, context.asked)
 
 
-@when('the limit of "{name}" falls to {rate:g} operations a second')
+@when('the limit of "{name}" is lowered to {rate:g} operations a second')
 def lower(context: Any, name: str, rate: float) -> None:
     context.nodes.customers = [make_customer(name, rate)]
     context.nodes.declare_again()
 
 
-@when('all proxies start anew')
-def start_anew(context: Any) -> None:
+@when('all proxies restart')
+def restart_all(context: Any) -> None:
     bench: NodeBench = context.nodes
     for node in bench.nodes.values():
         node.kill()
@@ -413,7 +413,7 @@
     for node, name in product(bench.nodes, context.customers):
         session = bench.open(node, 'browse', find_key(name))
         bench.time.watch(context.others.read_on(session, until, pause))
-        # They come one after the other.
+        # The callers start one after the other.
         bench.wait(pause / len(bench.nodes) / len(context.customers))
     bench.wait(2)
     context.opened_before = _count_opened(bench)
@@ -445,18 +445,18 @@
 
 
 @when(
-    '"{name}" reads every {pause:g} s at a proxy for {time:g} s as the reader'
-    + ' where it gathers is cut off',
+    '"{name}" reads every {pause:g} s at a proxy for {time:g} s as its reader'
+    + ' is partitioned off',
 )
 def read_and_cut(context: Any, name: str, pause: float, time: float) -> None:
     bench: NodeBench = context.nodes
     groups = bench.nodes['east-1'].service._groups
-    home = groups.list_homes(GROUP, CustomerId(name))[0][0]
-    node = next(other for other in bench.nodes if other != home)
+    reader = groups.list_homes(GROUP, CustomerId(name))[0][0]
+    node = next(other for other in bench.nodes if other != reader)
     context.others = Callers(bench)
     session = bench.open(node, 'browse', find_key(name))
     assert isinstance(bench.ask(session, 'READ turn'), Ok)
-    bench.network.cut(node, home)
+    bench.network.cut(node, reader)
     until = bench.time.read_now() + time
     bench.run(context.others.read_on(session, until, pause))
 
@@ -479,8 +479,8 @@
     return bench.run(service.open_session(TrafficClass(database), digest))
 
 
-def _take_nothing(pair: object) -> None:
-    """Stand in for a proxy that hears of no new configuration."""
+def _ignore_version(pair: object) -> None:
+    """Ignore a new configuration."""
 
 
 def _check_code(context: Any, session: Any, text: str, code: str) -> None:
@@ -506,7 +506,7 @@
     until = bench.time.read_now() + time
 
     async def write(place: int) -> None:
-        # Each caller is in its own place of a round of one second.
+        # The callers' writes are spread evenly over each second.
         node = nodes[place % len(nodes)]
         session = await _open(bench, node, 'settle', name)
         await sleep(place / rate)
@@ -526,7 +526,7 @@
     nodes: list[str],
     time: float,
 ) -> None:
-    """Ask the gates of proxies alone, whether or not a target is reached."""
+    """Call only the proxies' gates, so that no target has to be reachable."""
     bench: NodeBench = context.nodes
     if not hasattr(context, 'allowed'):
         context.allowed = []
@@ -557,7 +557,7 @@
 def _check_windows(moments: list[float], rate: float) -> None:
     assert moments
     ordered = sorted(moments)
-    most = (rate * WINDOW + rate) * (1 + OVERAGE) + SLACK
+    most = (rate * WINDOW + rate) * (1 + EXCESS_SHARE) + EXCESS_OPERATIONS
     for first, began in enumerate(ordered):
         ran = bisect_left(ordered, began + WINDOW) - first
         assert ran <= most, (ran, most, began)
