--- a/src/sedgeshunt/forwarding/channel.py
+++ b/src/sedgeshunt/forwarding/channel.py
@@ -1,4 +1,4 @@
-"""Define the connections over which proxies exchange frames."""
+"""Define the connections for frames between proxies."""
 
 from abc import ABC, abstractmethod
 
@@ -8,19 +8,19 @@
 
 
 class FrameChannel(ABC):
-    """Carry frames both ways on one connection."""
+    """Send and receive frames on one connection."""
 
     @abstractmethod
     async def receive(self) -> Frame | None:
-        """Return the next frame, None once the connection has ended."""
+        """Return the next frame, None once the connection is closed."""
 
     @abstractmethod
     def send(self, frame: Frame) -> None:
-        """Send a frame without waiting; a broken connection takes any."""
+        """Send a frame without waiting; a broken connection drops it."""
 
     @abstractmethod
     def close(self) -> None:
-        """Drop the connection at once; closing twice does no harm."""
+        """Close the connection at once; closing twice is harmless."""
 
 
 class FrameConnector(ABC):
--- a/src/sedgeshunt/forwarding/link.py
+++ b/src/sedgeshunt/forwarding/link.py
@@ -1,4 +1,4 @@
-"""Keep in touch with one peer and have it run calls."""
+"""Exchange heartbeats with one peer and send it calls."""
 
 from abc import ABC, abstractmethod
 from asyncio import (
@@ -52,30 +52,31 @@
 )
 from sedgeshunt.statements.call import CallKind, StatementCall
 
-# Between an owner and who forwards to it, or may claim from it: three fit into
-# the time for which a promise binds. Other peers have less to tell.
+# Between an owner and the proxies that forward to it or may claim its groups:
+# three fit into the time for which a promise is valid.
 FAST_HEARTBEAT_INTERVAL = Seconds(0.2)
+# Between other peers, which have less to exchange.
 SLOW_HEARTBEAT_INTERVAL = Seconds(1)
-# To an owner whose log ends are wanted: half a second of the age that reads
-# accept, 1.5 s at the least.
+# To an owner whose log ends are needed: this adds half a second to the age of
+# reads, which accept 1.5 s at the least.
 TIP_HEARTBEAT_INTERVAL = Seconds(0.5)
-# A call that waits for so long asks whether the peer is there still.
-CALL_PATIENCE = Seconds(0.15)
-# A heartbeat without an answer for so long: the answer was missed, and the
-# peer counts as gone. Ways within a region take some milliseconds; a packet
-# that was lost is sent again after 0.2 s.
+# A call without a reply for this long triggers a heartbeat to its peer.
+CALL_CHECK_DELAY = Seconds(0.15)
+# Times without a reply after which a heartbeat counts as missed and the peer
+# as lost. Round trips within a region take some milliseconds; a lost packet is
+# sent again after 0.2 s.
 HEARTBEAT_MISSED_AFTER = Seconds(0.1)
 PEER_LOST_AFTER = Seconds(0.4)
-CONNECT_LIMIT = Seconds(0.5)
-SHORTEST_PAUSE = Seconds(0.1)
-LONGEST_PAUSE = Seconds(0.5)
-# What the answer's way back may take after the call's own deadline.
-ANSWER_SLACK = Seconds(0.05)
-RETRY_AFTER = Seconds(0.1)
+CONNECT_TIMEOUT = Seconds(0.5)
+MIN_RECONNECT_DELAY = Seconds(0.1)
+MAX_RECONNECT_DELAY = Seconds(0.5)
+# Time that the reply may take to arrive after the call's own deadline.
+REPLY_SLACK = Seconds(0.05)
+RETRY_DELAY = Seconds(0.1)
 
 
 class LinkEvents(ABC):
-    """Say what to tell peers, and take in what they tell."""
+    """Build heartbeats for peers and handle the events of their links."""
 
     @abstractmethod
     def make_heartbeat(
@@ -93,7 +94,7 @@
         peer: ProxyId,
         owned: Mapping[GroupId, OwnedGroup],
     ) -> Seconds:
-        """Return how often a peer's heartbeats are needed."""
+        """Return the interval between heartbeats to a peer."""
 
     @abstractmethod
     def take_heartbeat_reply(
@@ -101,7 +102,7 @@
         reply: HeartbeatReply,
         asked_at: Boottime,
     ) -> None:
-        """Take in the answer to a heartbeat."""
+        """Apply the reply to a heartbeat."""
 
     @abstractmethod
     def take_tip(
@@ -110,15 +111,15 @@
         asked_at: Boottime,
         tip: Point,
     ) -> None:
-        """Take in a primary's log end and when it was asked for."""
+        """Record a primary's log end and when it was requested."""
 
     @abstractmethod
     def note_reachability(self, peer: ProxyId, *, is_reached: bool) -> None:
-        """Take in that a peer was lost or found."""
+        """Record that a peer became unreachable or reachable."""
 
 
 class PeerLink:
-    """Own the connection to one peer."""
+    """Maintain the connection to one peer."""
 
     def __init__(
         self,
@@ -126,9 +127,9 @@
         connector: FrameConnector,
         events: LinkEvents,
     ) -> None:
-        """Connect in run()."""
+        """Prepare; run() connects."""
         self.peer = peer
-        # Groups that the peer owns, and those whose owner it hears.
+        # Groups that the peer owns, and those that it can relay calls for.
         self.owned: dict[GroupId, OwnedGroup] = {}
         self.relayed: dict[GroupId, OwnedGroup] = {}
         self.is_stopping = False
@@ -137,34 +138,34 @@
         self._events = events
         self._channel: FrameChannel | None = None
         self._waiting: dict[int, Future[Frame]] = {}
-        # What the peer hands on, by the number of the question.
+        # The store's changes from the peer, by the number of the request.
         self._feeds: dict[int, Queue[StoreChanges | None]] = {}
-        # Heartbeats without an answer, and when each was sent.
-        self._beats: dict[int, Boottime] = {}
+        # Heartbeats without a reply, and when each was sent.
+        self._pending_heartbeats: dict[int, Boottime] = {}
         self._awake = Event()
         self._number = 0
         self._called_at = read_clock()
-        # Since when the peer was silent as the connection was given up.
+        # Start of the peer's silence for which the connection was closed.
         self._silent_since: Monotonic | None = None
         self._echo = Boottime(0)
-        self._backoff = Backoff(SHORTEST_PAUSE, LONGEST_PAUSE)
+        self._backoff = Backoff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
 
     def is_alive(self) -> bool:
-        """Return whether the peer has answered of late."""
+        """Return whether the peer is connected and does not count as lost."""
         return (
             self._channel is not None and self._measure_wait() < PEER_LOST_AFTER
         )
 
     def is_answering(self) -> bool:
-        """Return whether the peer has answered the latest heartbeats."""
+        """Return whether the peer answered the latest heartbeats."""
         if self._channel is None:
             return False
         return self._measure_wait() < HEARTBEAT_MISSED_AFTER
 
     def measure_silence(self) -> Seconds | None:
-        """Return for how long the peer has been silent, None if it isn't.
+        """Return how long the peer has been silent, None if it is not.
 
-        Nor is a peer that was never heard, or has closed its connection.
+        A peer that never answered, or closed its connection, is not silent.
         """
         if self._channel is not None:
             return None if self.is_answering() else self._measure_wait()
@@ -173,11 +174,11 @@
         return Seconds(read_clock() - self._silent_since)
 
     def count_calls(self) -> int:
-        """Count the calls that the peer has not answered yet."""
+        """Return the number of calls that the peer has not answered yet."""
         return len(self._waiting)
 
     def measure_idle(self) -> Seconds:
-        """Return for how long no call has begun or been under way."""
+        """Return how long no call has been under way."""
         if self._waiting:
             return Seconds(0)
         return Seconds(read_clock() - self._called_at)
@@ -187,18 +188,18 @@
         self._awake.set()
 
     async def run(self) -> None:
-        """Stay connected until cancelled."""
+        """Connect, and reconnect after failures, until cancelled."""
         while True:
             try:
                 channel = await self._connector.connect(
                     self.peer.address,
-                    CONNECT_LIMIT,
+                    CONNECT_TIMEOUT,
                 )
             except PeerUnreachable:
                 await sleep(self._backoff.draw())
                 continue
             try:
-                await self._use(channel)
+                await self._serve(channel)
             finally:
                 self._drop(channel)
             await sleep(self._backoff.draw())
@@ -208,20 +209,24 @@
         call: StatementCall,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Have the peer run a call."""
+        """Send a call to the peer and return its reply."""
         channel = self._channel
         if channel is None or not self.is_alive():
             return Err(self._refuse('does not answer'))
         asked_at = read_boottime()
-        number, reply = self._begin(channel, call)
+        number, reply = self._send_call(channel, call)
         try:
-            async with timeout_at(deadline + ANSWER_SLACK):
+            async with timeout_at(deadline + REPLY_SLACK):
                 frame = await reply
         except TimeoutError:
             channel.send(Frame(number, is_cancelled=True))
-            return Err(self._judge(call, Cause.DEADLINE, 'no answer in time'))
+            return Err(
+                self._make_refusal(call, Cause.DEADLINE, 'no answer in time'),
+            )
         except PeerUnreachable as lost:
-            return Err(self._judge(call, Cause.CONNECTION_LOST, lost.reason))
+            return Err(
+                self._make_refusal(call, Cause.CONNECTION_LOST, lost.reason),
+            )
         except CancelledError:
             channel.send(Frame(number, is_cancelled=True))
             raise
@@ -230,7 +235,9 @@
         if frame.tip is not None:
             self._events.take_tip(call.group, asked_at, frame.tip)
         if frame.reply is None:
-            return Err(self._judge(call, Cause.CONNECTION_LOST, 'no reply'))
+            return Err(
+                self._make_refusal(call, Cause.CONNECTION_LOST, 'no reply'),
+            )
         return frame.reply
 
     async def ask_reachability(
@@ -239,12 +246,12 @@
         target: TargetId,
         limit: Seconds,
     ) -> bool:
-        """Ask whether the peer reaches a target that leads its group."""
+        """Ask whether the peer reaches a target that is a primary."""
         asked = Frame(0, reach=ReachRequest(group, target))
         return _is_yes(await self._ask(asked, limit))
 
     async def keep_lease(self, asked: LeaseRenewal, limit: Seconds) -> bool:
-        """Have the peer renew a lease in the store."""
+        """Ask the peer to renew a lease in the store."""
         return _is_yes(await self._ask(Frame(0, kept_lease=asked), limit))
 
     async def request_quota(
@@ -252,10 +259,10 @@
         request: QuotaRequest,
         limit: Seconds,
     ) -> QuotaGrant | None:
-        """Have the peer count operations; None without an answer."""
+        """Ask the peer for quota; return None without an answer."""
         answer = await self._ask(Frame(0, spend=request), limit)
         if answer is None:
-            # A heartbeat tells whether it is there, before others ask it too.
+            # A heartbeat checks the peer before other requests are sent to it.
             self.wake()
             return None
         return answer.spent
@@ -264,7 +271,7 @@
         channel = self._channel
         if channel is None:
             return None
-        number, reply = self._expect()
+        number, reply = self._add_waiter()
         channel.send(replace(question, number=number))
         try:
             async with timeout_at(read_clock() + limit):
@@ -278,40 +285,40 @@
         self,
         after: Revision,
     ) -> AsyncGenerator[StoreChanges, None]:
-        """Yield what the store changes, as the peer hands it on."""
+        """Yield the store's changes after a revision, sent by the peer."""
         channel = self._channel
         if channel is None:
             return
         self._number += 1
         number = self._number
-        handed: Queue[StoreChanges | None] = Queue()
-        self._feeds[number] = handed
+        feed: Queue[StoreChanges | None] = Queue()
+        self._feeds[number] = feed
         channel.send(Frame(number, followed_from=after))
         try:
-            while (changes := await handed.get()) is not None:
+            while (changes := await feed.get()) is not None:
                 yield changes
         finally:
             self._feeds.pop(number, None)
             channel.send(Frame(number, is_cancelled=True))
 
     def end_transaction(self, transaction: TransactionId) -> None:
-        """Have the peer undo a transaction; a broken link does so too."""
+        """Ask the peer to roll back a transaction, as a closed link does."""
         if self._channel is not None:
             self._number += 1
             self._channel.send(Frame(self._number, undone=transaction))
 
-    async def _use(self, channel: FrameChannel) -> None:
+    async def _serve(self, channel: FrameChannel) -> None:
         self._channel = channel
         self._silent_since = None
-        self._beats.clear()
+        self._pending_heartbeats.clear()
         self._events.note_reachability(self.peer.name, is_reached=True)
         async with TaskGroup() as tasks:
-            beating = tasks.create_task(self._beat(channel))
+            heartbeats = tasks.create_task(self._send_heartbeats(channel))
             while (frame := await channel.receive()) is not None:
-                self._take(frame)
-            beating.cancel()
+                self._handle(frame)
+            heartbeats.cancel()
 
-    async def _beat(self, channel: FrameChannel) -> None:
+    async def _send_heartbeats(self, channel: FrameChannel) -> None:
         is_first = True
         while self._measure_wait() < PEER_LOST_AFTER:
             self._number += 1
@@ -323,63 +330,80 @@
             if not is_first:
                 beat = replace(beat, sender=None)
             is_first = False
-            self._beats[self._number] = read_boottime()
+            self._pending_heartbeats[self._number] = read_boottime()
             channel.send(Frame(self._number, beat=beat))
-            await self._wait_beat()
+            await self._wait_due()
         channel.close()
 
-    async def _wait_beat(self) -> None:
-        """Wait until the next heartbeat is due, or an answer was missed."""
-        pace = self._events.find_heartbeat_interval(self.peer.name, self.owned)
-        due_at = read_clock() + pace
+    async def _wait_due(self) -> None:
+        """Wait until the next heartbeat is due or the peer is lost."""
+        interval = self._events.find_heartbeat_interval(
+            self.peer.name,
+            self.owned,
+        )
+        due_at = read_clock() + interval
         self._awake.clear()
         while read_clock() < due_at and not self._awake.is_set():
-            # A peer that is gone shows while its answer is awaited.
-            step = min(pace, PEER_LOST_AFTER) if self._beats else pace
+            # While a reply is awaited, wake up in time to detect a lost peer.
+            step = (
+                min(interval, PEER_LOST_AFTER)
+                if self._pending_heartbeats
+                else interval
+            )
             with suppress(TimeoutError):
                 async with timeout_at(min(due_at, read_clock() + step)):
                     await self._awake.wait()
             if self._measure_wait() >= PEER_LOST_AFTER:
                 return
 
-    def _begin(
+    def _send_call(
         self,
         channel: FrameChannel,
         call: StatementCall,
     ) -> tuple[int, 'Future[Frame]']:
         self._called_at = read_clock()
-        number, reply = self._expect()
+        number, reply = self._add_waiter()
         channel.send(Frame(number, call=call))
-        get_running_loop().call_later(CALL_PATIENCE, self._doubt, number)
+        get_running_loop().call_later(
+            CALL_CHECK_DELAY,
+            self._check_peer,
+            number,
+        )
         return number, reply
 
-    def _doubt(self, number: int) -> None:
-        # A heartbeat that has no answer yet will tell soon.
-        if number in self._waiting and not self._beats:
+    def _check_peer(self, number: int) -> None:
+        # A heartbeat that awaits its reply already serves as the check.
+        if number in self._waiting and not self._pending_heartbeats:
             self.wake()
 
     def _measure_wait(self) -> Seconds:
-        """Return for how long the oldest heartbeat has had no answer."""
-        if not self._beats:
+        """Return how long the oldest pending heartbeat has had no reply."""
+        if not self._pending_heartbeats:
             return Seconds(0)
-        return Seconds(read_boottime() - next(iter(self._beats.values())))
+        return Seconds(
+            read_boottime() - next(iter(self._pending_heartbeats.values())),
+        )
 
-    def _take(self, frame: Frame) -> None:
+    def _handle(self, frame: Frame) -> None:
         self._backoff.reset()
         if frame.beat_reply is not None:
-            asked_at = self._beats.pop(frame.number, None)
+            asked_at = self._pending_heartbeats.pop(frame.number, None)
             if asked_at is not None:
-                self._note_beat(frame.beat_reply, asked_at)
+                self._note_heartbeat_reply(frame.beat_reply, asked_at)
             return
         if frame.number in self._feeds:
-            # A frame without changes is the feed's end.
+            # A frame without changes ends the feed.
             self._feeds[frame.number].put_nowait(frame.changes)
             return
         waiting = self._waiting.get(frame.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(frame)
 
-    def _note_beat(self, reply: HeartbeatReply, asked_at: Boottime) -> None:
+    def _note_heartbeat_reply(
+        self,
+        reply: HeartbeatReply,
+        asked_at: Boottime,
+    ) -> None:
         self._echo = Boottime(max(self._echo, reply.stamp))
         self.owned = {one.group: one for one in reply.owned}
         if reply.relayed is not None:
@@ -388,7 +412,7 @@
         self.reaches_store = reply.reaches_store
         self._events.take_heartbeat_reply(reply, asked_at)
 
-    def _expect(self) -> tuple[int, 'Future[Frame]']:
+    def _add_waiter(self) -> tuple[int, 'Future[Frame]']:
         self._number += 1
         reply: Future[Frame] = get_running_loop().create_future()
         self._waiting[self._number] = reply
@@ -402,8 +426,8 @@
             self._silent_since = Monotonic(read_clock() - wait)
         self.owned = {}
         self.relayed = {}
-        for handed in self._feeds.values():
-            handed.put_nowait(None)
+        for feed in self._feeds.values():
+            feed.put_nowait(None)
         self._events.note_reachability(self.peer.name, is_reached=False)
         lost = PeerUnreachable(self.peer.name, 'the connection broke')
         for reply in self._waiting.values():
@@ -414,23 +438,23 @@
         return NotRun(
             Cause.CONNECTION_LOST,
             f'proxy {self.peer.name} {reason}',
-            RETRY_AFTER,
+            RETRY_DELAY,
         )
 
-    def _judge(
+    def _make_refusal(
         self,
         call: StatementCall,
         cause: Cause,
         reason: str,
     ) -> Refusal:
-        """Tell what may have become of a call without an answer."""
+        """Return the outcome of a call that got no reply."""
         text = f'proxy {self.peer.name}: {reason}'
         if call.transaction is not None and call.kind is not CallKind.COMMIT:
-            # The peer undoes it with the connection, or when told so; without
-            # its COMMIT the target keeps nothing of it.
-            return NotRun(Cause.TRANSACTION_LOST, text, RETRY_AFTER)
+            # The peer rolls the transaction back on request or when the
+            # connection closes; without a COMMIT, the target keeps none of it.
+            return NotRun(Cause.TRANSACTION_LOST, text, RETRY_DELAY)
         if call.kind is CallKind.READ:
-            return NotRun(cause, text, RETRY_AFTER)
+            return NotRun(cause, text, RETRY_DELAY)
         return Unknown(cause, text)
 
 
--- a/src/sedgeshunt/forwarding/messages.py
+++ b/src/sedgeshunt/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""Describe what proxies say to each other."""
+"""Define the messages between proxies."""
 
 from msgspec import Struct
 from result import Result
@@ -22,7 +22,7 @@
 
 
 class OwnedGroup(Struct, frozen=True):
-    """Name a group that the sender owns and its primary's log end."""
+    """Hold a group that the sender owns and its primary's log end."""
 
     group: GroupId
     token: OwnerToken
@@ -30,58 +30,58 @@
 
 
 class ReachRequest(Struct, frozen=True):
-    """Ask whether the receiver reaches a target that leads."""
+    """Ask whether the receiver reaches a target that is a primary."""
 
     group: GroupId
     target: TargetId
 
 
 class LeaseRenewal(Struct, frozen=True):
-    """Name a lease that the receiver is to renew in the store."""
+    """Ask the receiver to renew a lease in the store."""
 
     lease: int
-    # The same id is another lease in another era of the store.
+    # Lease ids are unique within one era of the store only.
     era: Era
 
 
 class Heartbeat(Struct, frozen=True):
     """Hold one heartbeat."""
 
-    # Who sends it and how it is reached; None after a connection's first.
+    # The sending instance; None after the first heartbeat of a connection.
     sender: InstanceEntry | None
-    # For so long the sender won't claim a group of the receiver; 0: it may.
+    # Time for which the sender won't claim the receiver's groups; 0: it may.
     promised: Seconds
-    # The receiver's clock as it stood in its last reply; 0 before the first.
+    # The receiver's clock from its last reply; 0 before the first.
     echo: Boottime
-    # The operator's version of the configuration that the sender has.
+    # The operator's version of the sender's configuration.
     version: int
-    # How far the sender has followed the store.
+    # The newest revision of the store that the sender knows.
     store_revision: Revision = Revision(0)
-    # The receiver counts the sender's part of customers' limits.
+    # Whether the receiver is to hold the sender's part of customers' limits.
     gives_part: bool = False
 
 
 class HeartbeatReply(Struct, frozen=True):
-    """Hold the answer to a heartbeat."""
+    """Hold the reply to a heartbeat."""
 
     # The replying instance's clock.
     stamp: Boottime
     owned: tuple[OwnedGroup, ...]
     is_stopping: bool
-    # Groups whose owner the sender hears, and can pass calls on to; None
-    # when these have not changed.
+    # Groups whose live owner the sender can relay calls to; None if unchanged
+    # since the previous reply.
     relayed: tuple[OwnedGroup, ...] | None = ()
     store_revision: Revision = Revision(0)
-    # The store answers the sender.
+    # Whether the store answers the sender.
     reaches_store: bool = False
-    # Groups that the sender owned by a claim, and does not own any more.
+    # Groups that the sender owned by a claim and has released, with the claim.
     released: tuple[tuple[GroupId, int], ...] = ()
-    # The configuration, when the asker's is older.
+    # The configuration, if the receiver's is older.
     document: bytes | None = None
 
 
 class Frame(Struct, frozen=True):
-    """Hold one message; the number ties a reply to what it answers."""
+    """Hold one message; a reply has the number of its request."""
 
     number: int
     call: StatementCall | None = None
@@ -90,17 +90,17 @@
     beat: Heartbeat | None = None
     beat_reply: HeartbeatReply | None = None
     is_cancelled: bool = False
-    # The caller has given this transaction up.
+    # Transaction to roll back, as its caller abandoned it.
     undone: TransactionId | None = None
     reach: ReachRequest | None = None
-    # Have the receiver renew this lease in the store.
+    # Lease that the receiver is to renew in the store.
     kept_lease: LeaseRenewal | None = None
-    # The answer to both.
+    # The answer to a reach request or a lease renewal.
     is_reached: bool | None = None
-    # Have the receiver hand on what the store changes after this.
+    # Revision after which the receiver is to send the store's changes.
     followed_from: Revision | None = None
-    # What it hands on, under the number of that frame.
+    # These changes, with the number of the frame that asked for them.
     changes: StoreChanges | None = None
-    # Operations that a customer wants to begin, and the answer to it.
+    # A quota request for a customer, and the grant that answers it.
     spend: QuotaRequest | None = None
     spent: QuotaGrant | None = None
--- a/src/sedgeshunt/forwarding/server.py
+++ b/src/sedgeshunt/forwarding/server.py
@@ -1,4 +1,4 @@
-"""Run calls for one peer and answer its heartbeats."""
+"""Run calls of one peer and answer its heartbeats."""
 
 from abc import ABC, abstractmethod
 from asyncio import Task, TaskGroup
@@ -35,7 +35,7 @@
 
 
 class PeerRequestHandler(ABC):
-    """Answer what peers ask."""
+    """Handle the requests of peers."""
 
     @abstractmethod
     async def run_call(
@@ -44,7 +44,7 @@
         book: TransactionBook,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run a statement for a peer's caller."""
+        """Run a statement of a peer's caller."""
 
     @abstractmethod
     async def end_transaction(
@@ -52,7 +52,7 @@
         transaction: TransactionId,
         book: TransactionBook,
     ) -> None:
-        """Undo a transaction that a peer's caller gives up."""
+        """Roll back a transaction that a peer's caller abandoned."""
 
     @abstractmethod
     def read_tip(self, group: GroupId) -> Point | None:
@@ -60,15 +60,15 @@
 
     @abstractmethod
     async def can_reach(self, group: GroupId, target: TargetId) -> bool:
-        """Return whether a target that leads its group is reached from here."""
+        """Return whether a target is reachable here and is a primary."""
 
     @abstractmethod
     async def keep_lease(self, asked: LeaseRenewal) -> bool:
-        """Renew a peer's lease in the store; tell whether it goes on."""
+        """Renew a peer's lease in the store; return whether it is held."""
 
     @abstractmethod
     async def grant_quota(self, request: QuotaRequest) -> QuotaGrant:
-        """Count what a customer wants to begin at a peer."""
+        """Answer a peer's quota request for a customer."""
 
     @abstractmethod
     def answer_heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
@@ -76,11 +76,11 @@
 
     @abstractmethod
     def add_follower(self, receive: ChangeReceiver, after: Revision) -> None:
-        """Hand a peer what the store changes after a revision."""
+        """Send a peer the store's changes after a revision."""
 
     @abstractmethod
     def remove_follower(self, receive: ChangeReceiver) -> None:
-        """Hand a peer nothing more."""
+        """Stop sending changes to a peer."""
 
 
 class PeerConnectionHandler:
@@ -91,41 +91,41 @@
         channel: FrameChannel,
         handler: PeerRequestHandler,
     ) -> None:
-        """Own what the peer begins here."""
+        """Track the calls and transactions that the peer begins here."""
         self._channel = channel
         self._handler = handler
-        self._book = TransactionBook()
+        self._transactions = TransactionBook()
         self._running: dict[int, Task[None]] = {}
-        # Where the peer's questions for changes are answered to.
+        # The receivers of changes, by the number of the peer's request.
         self._receivers: dict[int, ChangeReceiver] = {}
-        # Said once on each connection, and left out until it changes.
+        # Sent once on each connection, and again only after a change.
         self._sender: InstanceEntry | None = None
         self._relayed: tuple[OwnedGroup, ...] | None = None
 
     async def run(self) -> None:
-        """Serve until the peer leaves."""
+        """Serve until the peer closes the connection."""
         try:
             async with TaskGroup() as tasks:
                 while (frame := await self._channel.receive()) is not None:
-                    self._take(frame, tasks)
+                    self._handle(frame, tasks)
                 for task in self._running.values():
                     task.cancel()
         finally:
             for receive in self._receivers.values():
                 self._handler.remove_follower(receive)
-            await self._book.undo_all()
+            await self._transactions.undo_all()
 
-    def _take(self, frame: Frame, tasks: TaskGroup) -> None:
+    def _handle(self, frame: Frame, tasks: TaskGroup) -> None:
         number = frame.number
         if frame.beat is not None:
-            reply = self._answer_beat(frame.beat)
+            reply = self._answer_heartbeat(frame.beat)
             self._channel.send(Frame(number, beat_reply=reply))
         if frame.call is not None:
             self._running[number] = tasks.create_task(
                 self._run(number, frame.call),
             )
         if frame.is_cancelled:
-            self._give_up(number)
+            self._cancel(number)
         if frame.followed_from is not None:
             receive = partial(self._send_changes, number)
             self._receivers[number] = receive
@@ -138,10 +138,10 @@
             tasks.create_task(self._answer_quota(number, frame.spend))
         if frame.undone is not None:
             tasks.create_task(
-                self._handler.end_transaction(frame.undone, self._book),
+                self._handler.end_transaction(frame.undone, self._transactions),
             )
 
-    def _give_up(self, number: int) -> None:
+    def _cancel(self, number: int) -> None:
         if number in self._running:
             self._running[number].cancel()
         receive = self._receivers.pop(number, None)
@@ -154,7 +154,7 @@
             Frame(number, changes=changes, is_cancelled=is_over),
         )
 
-    def _answer_beat(self, beat: Heartbeat) -> HeartbeatReply | None:
+    def _answer_heartbeat(self, beat: Heartbeat) -> HeartbeatReply | None:
         self._sender = beat.sender or self._sender
         if self._sender is None:
             return None
@@ -181,7 +181,11 @@
     async def _run(self, number: int, call: StatementCall) -> None:
         try:
             deadline = Monotonic(read_clock() + call.time_left)
-            reply = await self._handler.run_call(call, self._book, deadline)
+            reply = await self._handler.run_call(
+                call,
+                self._transactions,
+                deadline,
+            )
             tip = self._handler.read_tip(call.group)
             self._channel.send(Frame(number, reply=reply, tip=tip))
         finally:
--- a/tests/features/frames.feature
+++ b/tests/features/frames.feature
@@ -1,15 +1,15 @@
 Feature: Frames between proxies
-  The classes that carry them are written from the schema once, not at each start
-  of a proxy.
+  The classes of frames are generated from the schema once, not at each start of
+  a proxy.
 
-  Scenario: The classes are those of the schema
-    A field that stands in the schema and not in the classes would be dropped by
-    the sender without a word.
-    When the classes are written from the schema anew
-    Then they are the ones that are in use
+  Scenario: The generated classes match the schema
+    A field of the schema that the classes lack would be dropped by the sender
+    without an error.
+    When the classes are generated from the schema again
+    Then they equal the classes in use
 
-  Scenario: What nobody asks for is not loaded at a start
-    Callers find no connection until a proxy has started. What writes the page of
-    metrics, or parses the schema, is loaded by whoever needs it.
+  Scenario: A start loads no modules that it does not need
+    Callers can't connect until a proxy has started, so the metrics page and the
+    schema parser are loaded only when they are used.
     When a proxy's program is loaded
     Then it has loaded none of "prometheus_client, thriftpy2, ply, http, email"
--- a/tests/features/steps/frames_steps.py
+++ b/tests/features/steps/frames_steps.py
@@ -1,4 +1,4 @@
-"""Check what carries frames between proxies, and what a start loads."""
+"""Check the classes of frames, and the modules that a start loads."""
 
 import subprocess  # a fresh interpreter shows what a start loads
 import sys
@@ -11,12 +11,12 @@
 LOADING = 'import sys, sedgeshunt.node; print(*sys.modules)'
 
 
-@when('the classes are written from the schema anew')
-def write_anew(context: Any) -> None:
+@when('the classes are generated from the schema again')
+def generate_classes(context: Any) -> None:
     context.written = write_classes()
 
 
-@then('they are the ones that are in use')
+@then('they equal the classes in use')
 def check_written(context: Any) -> None:
     assert CLASSES.read_text() == context.written
 
@@ -39,6 +39,6 @@
 
 
 def _find_paths() -> str:
-    # Without the folder of packages' own start-up files, which load modules
-    # into every interpreter here.
+    # The interpreter starts without the module site, as .pth files of packages
+    # would load further modules; so the paths are set here.
     return f'import sys; sys.path[:] = {sys.path!r}; '
--- a/tests/standins/frames.py
+++ b/tests/standins/frames.py
@@ -1,4 +1,4 @@
-"""Carry frames between proxies in memory, over the emulated network."""
+"""Send frames between proxies in memory, over the emulated network."""
 
 from asyncio import Queue, Task, create_task
 from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
     """Hold one end of a connection."""
 
     def __init__(self, network: Network, here: Place, there: Place) -> None:
-        """Stand at `here`."""
+        """Send from `here` to `there`."""
         self.other: MemoryChannel | None = None
         self.sent: list[bytes] = []
         self._network = network
@@ -30,19 +30,19 @@
         self._task: Task[None] = create_task(self._carry())
 
     async def receive(self) -> Frame | None:
-        """Return the next frame, None once the connection has ended."""
+        """Return the next frame, None once the connection is closed."""
         message = await self._received.get()
         return None if message is None else decode_frame(message)
 
     def send(self, frame: Frame) -> None:
         """Send a frame without waiting."""
-        # As bytes, so that what the codec can't carry shows in tests.
+        # Encoded, so that tests find values that the codec loses.
         message = encode_frame(frame)[LENGTH_BYTES:]
         self.sent.append(message)
         self._sending.put_nowait(message)
 
     def close(self) -> None:
-        """Drop the connection; the other side learns it if it is reached."""
+        """Close the connection; the other end notices if it is reachable."""
         self._received.put_nowait(None)
         self._sending.put_nowait(None)
 
@@ -65,18 +65,18 @@
         here: Place,
         listeners: dict[Address, tuple[Place, Handler]],
     ) -> None:
-        """Stand at `here`; `listeners` are shared by all proxies."""
+        """Connect from `here`; `listeners` are shared by all proxies."""
         self._network = network
         self._here = here
         self._listeners = listeners
         self._tasks: set[Task[None]] = set()
-        # The ends of connections that others opened to this proxy.
+        # This proxy's ends of connections that others opened.
         self.served: list[MemoryChannel] = []
         # What was sent on connections that this proxy opened.
         self.sent: list[bytes] = []
 
     def listen(self, address: Address, handle: Handler) -> None:
-        """Take connections at `address`."""
+        """Accept connections at `address`."""
 
         async def keep(channel: FrameChannel) -> None:
             if isinstance(channel, MemoryChannel):
@@ -86,7 +86,7 @@
         self._listeners[address] = (self._here, keep)
 
     def drop(self, address: Address) -> None:
-        """Take no connections any more, and end those that are open."""
+        """Stop accepting connections, and close those that are open."""
         self._listeners.pop(address, None)
         for channel in self.served:
             channel.close()
--- a/tests/standins/links.py
+++ b/tests/standins/links.py
@@ -27,12 +27,12 @@
     """Send statements over the emulated network, answers in order."""
 
     def __init__(self, session: Session) -> None:
-        """Serve `session` by a task of its own, as the database would."""
+        """Serve `session` in its own task, as the database would."""
         self._session = session
         self._target = session.database.name
         self._requests: Queue[str | None] = Queue()
-        # A late answer stays in here: as on a real connection, it meets
-        # whoever is careless enough to use the connection again.
+        # A late answer stays queued: as on a real connection, it is read by
+        # the next statement if the connection is used again.
         self._answers: Queue[Answer | SedgeshuntError] = Queue()
         self._lost = False
         self._closed = False
@@ -41,7 +41,7 @@
         self._serving = create_task(self._serve())
 
     async def execute(self, sql: str) -> Answer:
-        """Run `sql`; hang in a cut or freeze until cancelled."""
+        """Run `sql`; hang in a partition or freeze until cancelled."""
         if self._lost or self._closed:
             raise TargetLost(self._target, 'connection closed')
         self._requests.put_nowait(sql)
@@ -51,7 +51,7 @@
         return replace(answer, served_by=self._target)
 
     async def close(self) -> None:
-        """Hang up; what was sent still arrives and runs."""
+        """Close the connection; requests already sent still run."""
         if not self._closed:
             self._closed = True
             self._requests.put_nowait(None)
@@ -86,7 +86,7 @@
         zone: ZoneId,
         client: str,
     ) -> None:
-        """Reach the databases of `groups` from `zone` as `client`."""
+        """Connect to the databases of `groups` as `client` in `zone`."""
         self._groups = groups
         self._place = Place(client, zone)
 
@@ -105,7 +105,7 @@
         address: Address,
         group: GroupId,
     ) -> MemoryControl:
-        """Open a control connection, which the limit doesn't count."""
+        """Open a control connection, which is exempt from the limit."""
         connection = await self._open(target, group, counted=False)
         return MemoryControl(connection, target)
 
