--- a/src/sedgeshunt/customers/__init__.py
+++ b/src/sedgeshunt/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Tell who calls, and how much each customer may ask."""
+"""Identify customers and enforce their limits over all proxies."""
--- a/src/sedgeshunt/customers/gate.py
+++ b/src/sedgeshunt/customers/gate.py
@@ -114,13 +114,13 @@
     identity: Identity,
     limit: CustomerLimit,
     wait: Seconds,
-    counter: ProxyId,
+    server: ProxyId,
 ) -> NotRun:
     return NotRun(
         Cause.CUSTOMER_LIMIT,
         f'customer {identity.customer} (key {identity.key}, version '
         + f'{identity.version}) has begun {limit.per_second:g} operations a '
-        + f'second and its burst of {limit.burst:g}, by {counter}',
+        + f'second and its burst of {limit.burst:g}, by {server}',
         Seconds(max(MIN_RETRY_DELAY, wait)),
     )
 
--- a/src/sedgeshunt/customers/part_assignment.py
+++ b/src/sedgeshunt/customers/part_assignment.py
@@ -46,7 +46,7 @@
         self._free_at = Boottime(0)
 
     def assign(self, server: ProxyId, wanted: ProxyId | None) -> bool:
-        """Return whether a heartbeat to `server` assigns it the part.
+        """Assign the part to `server` if it may get it; return whether so.
 
         The `wanted` server gets the part once no other one can hold it.
         """
--- a/src/sedgeshunt/customers/quotas.py
+++ b/src/sedgeshunt/customers/quotas.py
@@ -47,7 +47,7 @@
 
     @abstractmethod
     def keeps_own_part(self) -> bool:
-        """Return whether this proxy holds its own part of limits itself."""
+        """Assign the own part to this proxy if possible; return whether so."""
 
     @abstractmethod
     async def ask(
--- a/src/sedgeshunt/forwarding/__init__.py
+++ b/src/sedgeshunt/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Have peers run what this proxy can't, and tell each other what they own."""
+"""Forward calls between proxies and exchange heartbeats."""
--- a/src/sedgeshunt/limits/__init__.py
+++ b/src/sedgeshunt/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Admit what can be answered in time and refuse the rest at once."""
+"""Admit statements that can be answered in time; refuse the rest at once."""
--- a/src/sedgeshunt/limits/admission.py
+++ b/src/sedgeshunt/limits/admission.py
@@ -103,9 +103,8 @@
     ) -> Result[Permit, NotRun]:
         """Return a permit, or refuse as soon as none can be granted in time.
 
-        A statement of a transaction that `is_begun` is not refused for the
-        expected wait. An answer is in time if it arrives by the time that it
-        is `due`, which is the deadline if not given.
+        A statement of a transaction that has begun is not refused for the
+        expected wait. Without `due`, an answer is due at the deadline.
         """
         if self._is_closed:
             return Err(self._refuse_closed())
--- a/src/sedgeshunt/limits/standing.py
+++ b/src/sedgeshunt/limits/standing.py
@@ -42,7 +42,7 @@
         aim_left: Seconds,
         now: Monotonic,
     ) -> None:
-        """Record the wait of a statement that had `aim_left` before it."""
+        """Record the wait of a statement with `aim_left` to its objective."""
         known = self._find(priority, now)
         is_late = waited > aim_left * QUEUE_TIME_SHARE
         if not is_late and (known is None or not known.is_standing):
--- a/src/sedgeshunt/membership/quota_links.py
+++ b/src/sedgeshunt/membership/quota_links.py
@@ -61,11 +61,11 @@
         return known.plan
 
     def gives_part(self, peer: ProxyId) -> bool:
-        """Return whether a heartbeat to `peer` assigns it the own part."""
+        """Assign the own part to `peer` if it may get it; return whether so."""
         return self._assignment.assign(peer, self.find_quota_server())
 
     def keeps_own_part(self) -> bool:
-        """Return whether this proxy holds its own part of limits itself."""
+        """Assign the own part to this proxy if possible; return whether so."""
         return self._assignment.assign(self._own.name, self.find_quota_server())
 
     def find_quota_server(self) -> ProxyId | None:
