--- a/src/sedgeshunt/execution/runner.py
+++ b/src/sedgeshunt/execution/runner.py
@@ -34,13 +34,13 @@
     """Open a call's transaction at a target."""
     if call.transaction is None:
         raise ValueError('cannot begin a transaction for a call without its id')
-    lent = await executor.lend(call, deadline, is_transaction=True)
-    if isinstance(lent, Err):
-        return lent
+    acquired = await executor.acquire(call, deadline, is_transaction=True)
+    if isinstance(acquired, Err):
+        return acquired
     async with AsyncExitStack() as owned:
-        loan = await owned.enter_async_context(lent.ok_value)
+        session_handle = await owned.enter_async_context(acquired.ok_value)
         begun = await executor.begin(
-            loan,
+            session_handle,
             is_read_only=call.is_read_only,
             deadline=deadline,
             after=after,
@@ -51,7 +51,7 @@
     transaction = OpenTransaction(
         call.transaction,
         executor,
-        lent.ok_value,
+        acquired.ok_value,
         read_clock(),
         is_at_primary,
     )
@@ -70,7 +70,7 @@
     transaction.is_busy = True
     try:
         outcome = await transaction.executor.run_inside(
-            transaction.loan,
+            transaction.session_handle,
             call,
             deadline,
         )
--- a/src/sedgeshunt/execution/target_executor.py
+++ b/src/sedgeshunt/execution/target_executor.py
@@ -127,51 +127,51 @@
         # that held a slot while waiting for a connection could block the
         # transactions that must finish to free one.
         arrived_at = read_clock()
-        lent = await self.lend(call, deadline)
-        if isinstance(lent, Err):
-            return lent
-        async with lent.ok_value as loan:
+        acquired = await self.acquire(call, deadline)
+        if isinstance(acquired, Err):
+            return acquired
+        async with acquired.ok_value as session_handle:
             return await self._run_admitted(
                 call,
                 deadline,
-                lambda: self._run_on(loan, call, deadline, after),
+                lambda: self._run_on(session_handle, call, deadline, after),
                 arrived_at=arrived_at,
             )
 
-    async def lend(
+    async def acquire(
         self,
         call: StatementCall,
         deadline: Monotonic,
         *,
         is_transaction: bool = False,
     ) -> Result[AcquiredSession, NotRun]:
-        """Lend a session for a call, or refuse if too many calls wait."""
+        """Acquire a session for a call, or refuse if too many calls wait."""
         arrived_at = read_clock()
-        lent = await self.pool.acquire(
+        acquired = await self.pool.acquire(
             call.session_values,
             deadline,
             customer=call.identity.customer,
             is_transaction=is_transaction,
             due=self._find_due(call, deadline, arrived_at),
         )
-        if isinstance(lent, Err):
-            self.record_connection_failure(lent.err_value)
-            self._note_refused(call, lent.err_value)
+        if isinstance(acquired, Err):
+            self.record_connection_failure(acquired.err_value)
+            self._note_refused(call, acquired.err_value)
         elif is_transaction:
             self._note_wait(call, arrived_at)
-        return lent
+        return acquired
 
     async def run_inside(
         self,
-        loan: AcquiredSession,
+        session_handle: AcquiredSession,
         call: StatementCall,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run one statement of the transaction that is open on `loan`."""
+        """Run one statement of the transaction open on `session_handle`."""
         return await self._run_admitted(
             call,
             deadline,
-            lambda: self._run_on(loan, call, deadline, None),
+            lambda: self._run_on(session_handle, call, deadline, None),
             is_begun=True,
         )
 
@@ -247,12 +247,12 @@
 
     async def _run_on(
         self,
-        loan: AcquiredSession,
+        session_handle: AcquiredSession,
         call: StatementCall,
         deadline: Monotonic,
         after: Point | None,
     ) -> Result[Answer, Refusal]:
-        session = loan.session
+        session = session_handle.session
         if needs_preparing(session, call):
             prepared = await self.send_request(
                 session,
@@ -284,16 +284,16 @@
 
     async def begin(
         self,
-        loan: AcquiredSession,
+        session_handle: AcquiredSession,
         *,
         is_read_only: bool,
         deadline: Monotonic,
         after: Point | None = None,
     ) -> Result[Answer, Refusal]:
-        """Open a transaction on a lent session."""
-        connection = loan.session.connection
+        """Open a transaction on an acquired session."""
+        connection = session_handle.session.connection
         reply = await self.send_request(
-            loan.session,
+            session_handle.session,
             lambda: connection.begin(is_read_only=is_read_only, after=after),
             deadline,
             is_retryable=True,
@@ -303,15 +303,15 @@
         return self._convert_reply(reply.ok_value)
 
     async def roll_back(
-        self, loan: AcquiredSession, deadline: Monotonic
+        self, session_handle: AcquiredSession, deadline: Monotonic
     ) -> None:
-        """Roll back a lent session's transaction.
+        """Roll back the transaction of an acquired session.
 
         If that fails, the session is not clean and gets closed.
         """
         await self.send_request(
-            loan.session,
-            loan.session.connection.roll_back,
+            session_handle.session,
+            session_handle.session.connection.roll_back,
             deadline,
             is_retryable=True,
         )
@@ -463,7 +463,7 @@
         self.tip = _find_later(self.tip, reply.point)
 
     def record_connection_failure(self, refusal: NotRun) -> None:
-        """Count a refusal to lend a session if the target was unreachable."""
+        """Count a failed acquisition if the target was unreachable."""
         if refusal.cause is Cause.CONNECTION_LOST:
             self.failures += 1
             self.failed.set()
--- a/src/sedgeshunt/execution/transactions.py
+++ b/src/sedgeshunt/execution/transactions.py
@@ -27,17 +27,17 @@
     @abstractmethod
     async def run_inside(
         self,
-        loan: AcquiredSession,
+        session_handle: AcquiredSession,
         call: StatementCall,
         deadline: Monotonic,
     ) -> Result[Answer, Refusal]:
-        """Run one statement of the transaction that is open on `loan`."""
+        """Run one statement of the transaction open on `session_handle`."""
 
     @abstractmethod
     async def roll_back(
-        self, loan: AcquiredSession, deadline: Monotonic
+        self, session_handle: AcquiredSession, deadline: Monotonic
     ) -> None:
-        """Roll back a lent session's transaction.
+        """Roll back the transaction of an acquired session.
 
         If that fails, the session is not clean and gets closed.
         """
@@ -48,7 +48,7 @@
 
     id: TransactionId
     executor: TransactionExecutor
-    loan: AcquiredSession
+    session_handle: AcquiredSession
     used_at: Monotonic
     # The transaction runs at the primary, which only the owner may use.
     is_at_primary: bool = False
@@ -58,18 +58,18 @@
     async def end(self) -> None:
         """Return the session, or close it if its state is uncertain."""
         self.executor.transactions.discard(self)
-        await self.loan.release()
+        await self.session_handle.release()
 
     async def abort(self) -> None:
         """Abort the transaction at once by closing its connection."""
-        self.loan.session.is_clean = False
+        self.session_handle.session.is_clean = False
         await self.end()
 
     async def roll_back(self) -> None:
         """Roll the transaction back and return the session."""
-        if self.loan.session.is_clean:
+        if self.session_handle.session.is_clean:
             deadline = Monotonic(read_clock() + ROLLBACK_TIMEOUT)
-            await self.executor.roll_back(self.loan, deadline)
+            await self.executor.roll_back(self.session_handle, deadline)
         await self.end()
 
 
--- a/tests/features/statement_sessions.feature
+++ b/tests/features/statement_sessions.feature
@@ -23,8 +23,8 @@
 
   Scenario: A caller disconnects while its transaction's statement waits for a slot
     The statement never ran, but the transaction is open on the connection. If
-    the connection were lent again, the next caller's write would become part of
-    the transaction.
+    the connection were acquired again, the next caller's write would become
+    part of the transaction.
     Given proxies "east-1"
     When a caller of "settle" leaves while its transaction waits for a slot
     And a caller of "settle" writes with no values set
