--- a/src/sedgeshunt/ownership/claims.py
+++ b/src/sedgeshunt/ownership/claims.py
@@ -44,8 +44,8 @@
 # reaches the other instances only after the batching delay of their watches;
 # with 0.06 s, fifteen others would attempt a failing claim of each group.
 STARTUP_RANK_DELAY = Seconds(0.6)
-# A named successor gets a head start of this many ranks.
-SUCCESSOR_RANKS = 5
+# A named next owner gets a head start of this many ranks.
+NEXT_OWNER_RANKS = 5
 # Instances that start together register within this time.
 REGISTRATION_TIME = Seconds(1)
 # A claim whose answer was lost may still be committed within this time.
@@ -149,7 +149,7 @@
         async with TaskGroup() as tasks:
             keeping = tasks.create_task(self._keep_candidates(ownership))
             while self._is_still_owner(ownership):
-                if ownership.successor is not None and await self._release(
+                if ownership.next_owner is not None and await self._release(
                     ownership
                 ):
                     break
@@ -162,15 +162,15 @@
         self._record_decision(DecisionKind.GROUP_LOST, ownership.token)
 
     async def _release(self, ownership: GroupOwnership) -> bool:
-        successor = ownership.successor
-        if successor is None:
+        next_owner = ownership.next_owner
+        if next_owner is None:
             return False
-        # End the ownership first: once the successor learns of the release,
+        # End the ownership first: once the next owner learns of the release,
         # it may claim at once.
         ownership.end()
         if self._context.records.reaches_store():
             with suppress(PlatformUnavailable, AnswerLost):
-                await self._context.records.release(self.group, successor)
+                await self._context.records.release(self.group, next_owner)
         self._record_decision(DecisionKind.GROUP_RELEASED, ownership.token)
         return True
 
@@ -313,7 +313,7 @@
         own = self._context.records.owner
         record = self._context.records.find_record(self.group)
         if record is not None and record.heir:
-            return 0 if record.heir == own else SUCCESSOR_RANKS
+            return 0 if record.heir == own else NEXT_OWNER_RANKS
         ranked = rank_owners(
             self.group,
             self._context.list_instances(),
--- a/src/sedgeshunt/ownership/group_ownership.py
+++ b/src/sedgeshunt/ownership/group_ownership.py
@@ -44,7 +44,7 @@
         self.claim = 0
         self.is_over = False
         # Set once the group is to be handed over to another instance.
-        self.successor: ProxyId | None = None
+        self.next_owner: ProxyId | None = None
         self._lease = lease
         self._lease_id = lease.id or 0
         self._promises = promises
@@ -67,9 +67,9 @@
         """Return whether nobody else can own the group within `span`."""
         return self.is_held() and read_boottime() + span < self._held_until
 
-    def hand_over_to(self, successor: ProxyId) -> None:
+    def hand_over_to(self, next_owner: ProxyId) -> None:
         """Request a handover to another instance."""
-        self.successor = successor
+        self.next_owner = next_owner
         self._on_handover()
 
     def end(self) -> None:
--- a/src/sedgeshunt/ownership/records.py
+++ b/src/sedgeshunt/ownership/records.py
@@ -282,8 +282,8 @@
             ownership, candidates=tuple(sorted(candidates))
         )
 
-    async def release(self, group: GroupId, successor: ProxyId) -> None:
-        """Release a group, so that `successor` may claim it at once.
+    async def release(self, group: GroupId, next_owner: ProxyId) -> None:
+        """Release a group, so that `next_owner` may claim it at once.
 
         Raise PlatformUnavailable or AnswerLost.
         """
@@ -292,7 +292,7 @@
             return
         # An empty owner releases all candidates from their promises.
         freed = encode_entry(
-            replace(seen.record, owner=ProxyId(''), heir=successor)
+            replace(seen.record, owner=ProxyId(''), heir=next_owner)
         )
         await self._store.commit(
             seen.compares,
--- a/src/sedgeshunt/registry/entries.py
+++ b/src/sedgeshunt/registry/entries.py
@@ -77,7 +77,7 @@
     claims: int = 0
     # The era of the store at the latest claim.
     era: Era = FIRST_ERA
-    # The successor that should claim next; others delay their claims.
+    # The next owner of the group; others delay their claims.
     heir: ProxyId = ProxyId('')
     leader: PrimaryNote | None = None
     # Set before a promotion is ordered, cleared once its result is known.
