--- a/src/sedgeshunt/execution/primary_context.py
+++ b/src/sedgeshunt/execution/primary_context.py
@@ -13,8 +13,8 @@
 from sedgeshunt.registry.configuration import LiveConfiguration
 
 
-class PeerQueries(ABC):
-    """Query peers about what this proxy cannot reach."""
+class NextOwnerFinder(ABC):
+    """Find a peer that can own a group in place of this proxy."""
 
     @abstractmethod
     async def find_peer_reaching(
@@ -36,7 +36,7 @@
     connector: TargetSessionConnector
     replacement: PrimaryReplacement
     records: GroupRecords
-    peers: PeerQueries
+    peers: NextOwnerFinder
     decisions: DecisionLog
 
     def record_decision(
--- a/src/sedgeshunt/statements/peer_requests.py
+++ b/src/sedgeshunt/statements/peer_requests.py
@@ -15,7 +15,7 @@
 from sedgeshunt.exceptions import PlatformUnavailable
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.group_table import GroupTable
-from sedgeshunt.execution.primary_context import PeerQueries
+from sedgeshunt.execution.primary_context import NextOwnerFinder
 from sedgeshunt.execution.statuses import STATUS_TIMEOUT, read_status
 from sedgeshunt.execution.transactions import TransactionTable
 from sedgeshunt.forwarding.link import PeerLink
@@ -192,7 +192,7 @@
     return call.access is Access.PRIMARY and access.owner is None
 
 
-class ReachablePeers(PeerQueries, LeaseRelay):
+class ReachablePeers(NextOwnerFinder, LeaseRelay):
     """Query the peers that are in contact."""
 
     def __init__(
