--- a/benchmarks/store_return.py
+++ b/benchmarks/store_return.py
@@ -6,7 +6,7 @@
 
 from sedgeshunt.identifiers import TrafficClass
 from tests.features.node_bench import NodeBench
-from tests.features.node_callers import Callers, Told
+from tests.features.node_callers import CallerResult, Callers
 from tests.features.steps.fleets_steps import name_proxies
 from tests.features.steps.store_changes_steps import charge_calls
 
@@ -37,7 +37,7 @@
 
 
 class Measurement:
-    """Hold one trial and what its callers were told."""
+    """Hold one trial and the results of its callers."""
 
     def __init__(self, trial: Trial) -> None:
         """Start the fleet and its callers."""
@@ -85,9 +85,9 @@
             await sleep(PAUSE)
 
     def _describe(self, name: str) -> str:
-        told = self.callers[name].told
-        in_time = [one for one in told if _is_in_time(one, OBJECTIVES[name])]
-        return f'{100 * len(in_time) / len(told):.1f} % of {len(told)}'
+        results = self.callers[name].results
+        in_time = [one for one in results if _is_in_time(one, OBJECTIVES[name])]
+        return f'{100 * len(in_time) / len(results):.1f} % of {len(results)}'
 
 
 def run() -> None:
@@ -101,8 +101,8 @@
             measurement.close()
 
 
-def _is_in_time(told: Told, objective: float) -> bool:
-    return told.is_done and told.answered_at - told.asked_at <= objective
+def _is_in_time(result: CallerResult, objective: float) -> bool:
+    return result.is_done and result.answered_at - result.asked_at <= objective
 
 
 def _describe_trial(trial: Trial) -> str:
--- a/tests/features/node_callers.py
+++ b/tests/features/node_callers.py
@@ -1,4 +1,4 @@
-"""Run callers at whole proxies and record what they were told."""
+"""Run callers at whole proxies and record their results."""
 
 from asyncio import sleep
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Told:
+class CallerResult:
     """Hold one statement and the outcome that its caller got."""
 
     text: str
@@ -47,18 +47,18 @@
     """Hold the outcomes of one scenario's statements."""
 
     bench: NodeBench
-    told: list[Told] = field(default_factory=list)
+    results: list[CallerResult] = field(default_factory=list)
     # The group's owner at each check.
     owners: list[tuple[float, str]] = field(default_factory=list)
     is_over: bool = False
 
-    async def ask(self, session: StatementSession, text: str) -> Told:
+    async def ask(self, session: StatementSession, text: str) -> CallerResult:
         """Run one statement and record its outcome."""
         asked_at = read_clock()
         outcome = await self.bench.answer(session, text)
-        told = Told(text, asked_at, read_clock(), outcome)
-        self.told.append(told)
-        return told
+        result = CallerResult(text, asked_at, read_clock(), outcome)
+        self.results.append(result)
+        return result
 
     async def write_on(self, session: StatementSession, pause: float) -> None:
         """Write a new item after each pause until the scenario ends."""
@@ -87,14 +87,18 @@
                 self.owners.append((read_clock(), owner))
             await sleep(WATCH_EVERY)
 
-    def list_writes(self) -> list[Told]:
+    def list_writes(self) -> list[CallerResult]:
         """List the writes in the order of their answers."""
-        return [told for told in self.told if told.text.startswith('WRITE')]
+        return [
+            result for result in self.results if result.text.startswith('WRITE')
+        ]
 
     def measure_gap(self) -> float:
         """Return the longest time without an acknowledged write."""
         moments = [
-            told.answered_at for told in self.list_writes() if told.is_done
+            result.answered_at
+            for result in self.list_writes()
+            if result.is_done
         ]
         pairs = zip(moments, moments[1:], strict=False)
         return max(late - early for early, late in pairs)
--- a/tests/features/return_histories.py
+++ b/tests/features/return_histories.py
@@ -149,8 +149,10 @@
         return broken
 
     def _check_writes(self) -> list[str]:
-        done = [told for told in self.callers.list_writes() if told.is_done]
-        lost = [told for told in done if not self._holds(told.text)]
+        done = [
+            result for result in self.callers.list_writes() if result.is_done
+        ]
+        lost = [result for result in done if not self._holds(result.text)]
         return [f'{len(lost)} of {len(done)} writes lost'] if lost else []
 
     def _holds(self, text: str) -> bool:
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -24,8 +24,8 @@
 from tests.features.node_bench import GROUP, ROUTES, NodeBench
 from tests.features.node_callers import (
     WATCH_EVERY,
+    CallerResult,
     Callers,
-    Told,
     open_bench,
 )
 from tests.standins.network import PLATFORM
@@ -237,7 +237,7 @@
 @when('"{name}" writes {rate:g} times a second at all of them for {time:g} s')
 def storm(context: Any, name: str, rate: float, time: float) -> None:
     bench: NodeBench = context.nodes
-    context.told = {}
+    context.callers_by_name = {}
     _start_writing(context, name, rate, list(bench.nodes), time)
     context.write_time = time
 
@@ -248,11 +248,13 @@
 )
 def press(context: Any, count: int, name: str, time: float) -> None:
     bench: NodeBench = context.nodes
-    context.told = {name: Callers(bench)}
+    context.callers_by_name = {name: Callers(bench)}
     context.write_time = time
     for _, node in zip(range(count), cycle(bench.nodes), strict=False):
         session = bench.open(node, 'settle', find_key(name))
-        bench.time.watch(context.told[name].write_on(session, WATCH_EVERY))
+        bench.time.watch(
+            context.callers_by_name[name].write_on(session, WATCH_EVERY)
+        )
 
 
 @when('"{name}" writes {rate:g} times a second at all of them meanwhile')
@@ -271,7 +273,7 @@
     node: str,
     time: float,
 ) -> None:
-    context.told = {}
+    context.callers_by_name = {}
     _start_writing(context, name, rate, [node], time)
     context.nodes.wait(time + 1)
 
@@ -285,8 +287,8 @@
 
 @then('what was refused to "{name}" was refused within {limit:d} ms')
 def check_refusals(context: Any, name: str, limit: int) -> None:
-    told: list[Told] = context.told[name].told
-    refused = [one for one in told if not one.is_done]
+    results: list[CallerResult] = context.callers_by_name[name].results
+    refused = [one for one in results if not one.is_done]
     assert refused
     late = [one for one in refused if _measure(one) > limit]
     assert not late, (len(late), len(refused), max(map(_measure, late)))
@@ -296,10 +298,13 @@
 
 @then('{share:d} % of the writes of "{name}" were done within {limit:d} ms')
 def check_writes(context: Any, share: int, name: str, limit: int) -> None:
-    told: list[Told] = context.told[name].told
-    quick = [one for one in told if one.is_done and _measure(one) <= limit]
-    assert told
-    assert len(quick) * PERCENT >= share * len(told), (len(quick), len(told))
+    results: list[CallerResult] = context.callers_by_name[name].results
+    quick = [one for one in results if one.is_done and _measure(one) <= limit]
+    assert results
+    assert len(quick) * PERCENT >= share * len(results), (
+        len(quick),
+        len(results),
+    )
 
 
 @when('all zones are partitioned from each other')
@@ -417,7 +422,7 @@
         bench.wait(pause / len(bench.nodes) / len(context.customers))
     bench.wait(2)
     context.opened_before = _count_opened(bench)
-    context.asked_before = len(context.others.told)
+    context.asked_before = len(context.others.results)
     bench.time.watch(_watch_connections(context))
     bench.wait(time - 2)
 
@@ -428,7 +433,7 @@
 )
 def check_opened(context: Any, share: float, time: float) -> None:
     opened = _count_opened(context.nodes) - context.opened_before
-    asked = len(context.others.told) - context.asked_before
+    asked = len(context.others.results) - context.asked_before
     assert opened < share * asked, (opened, asked)
 
 
@@ -439,9 +444,12 @@
 
 @then('at least {share:d} % of the reads were done within {limit:d} ms')
 def check_reads(context: Any, share: int, limit: int) -> None:
-    told: list[Told] = context.others.told
-    quick = [one for one in told if one.is_done and _measure(one) <= limit]
-    assert len(quick) * PERCENT >= share * len(told), (len(quick), len(told))
+    results: list[CallerResult] = context.others.results
+    quick = [one for one in results if one.is_done and _measure(one) <= limit]
+    assert len(quick) * PERCENT >= share * len(results), (
+        len(quick),
+        len(results),
+    )
 
 
 @when(
@@ -502,7 +510,7 @@
 ) -> None:
     bench: NodeBench = context.nodes
     callers = Callers(bench)
-    context.told[name] = callers
+    context.callers_by_name[name] = callers
     until = bench.time.read_now() + time
 
     async def write(place: int) -> None:
@@ -576,5 +584,5 @@
         await sleep(0.005)
 
 
-def _measure(told: Told) -> float:
-    return (told.answered_at - told.asked_at) * MILLISECONDS
+def _measure(result: CallerResult) -> float:
+    return (result.answered_at - result.asked_at) * MILLISECONDS
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -158,8 +158,10 @@
 
 @then('at most {count:d} statements were not done')
 def check_almost_done(context: Any, count: int) -> None:
-    assert context.callers.told
-    failed = [told for told in context.callers.told if not told.is_done]
+    assert context.callers.results
+    failed = [
+        result for result in context.callers.results if not result.is_done
+    ]
     assert len(failed) <= count, failed
 
 
--- a/tests/features/steps/load_and_faults_steps.py
+++ b/tests/features/steps/load_and_faults_steps.py
@@ -10,7 +10,7 @@
 from sedgeshunt.identifiers import TargetId, TrafficClass
 from sedgeshunt.membership.rotation import BalancerRotation
 from tests.features.node_bench import NodeBench
-from tests.features.node_callers import Callers, Told, open_bench
+from tests.features.node_callers import CallerResult, Callers, open_bench
 from tests.standins.network import PLATFORM
 from tests.standins.statement_group import CONNECTION_LIMIT, SLOTS
 
@@ -102,10 +102,13 @@
     "at least {share:d} % of the others' writes were done within {limit:d} ms"
 )
 def check_others(context: Any, share: int, limit: int) -> None:
-    told: list[Told] = context.others.list_writes()
-    assert told
-    quick = [one for one in told if one.is_done and _measure(one) <= limit]
-    assert len(quick) * PERCENT >= share * len(told), (len(quick), len(told))
+    results: list[CallerResult] = context.others.list_writes()
+    assert results
+    quick = [one for one in results if one.is_done and _measure(one) <= limit]
+    assert len(quick) * PERCENT >= share * len(results), (
+        len(quick),
+        len(results),
+    )
 
 
 @then(
@@ -184,10 +187,13 @@
 
 @then("at least {share:d} % of the others' reads were done within {limit:d} ms")
 def check_reads(context: Any, share: int, limit: int) -> None:
-    told: list[Told] = context.readers.told
-    quick = [one for one in told if one.is_done and _measure(one) <= limit]
-    assert told
-    assert len(quick) * PERCENT >= share * len(told), (len(quick), len(told))
+    results: list[CallerResult] = context.readers.results
+    quick = [one for one in results if one.is_done and _measure(one) <= limit]
+    assert results
+    assert len(quick) * PERCENT >= share * len(results), (
+        len(quick),
+        len(results),
+    )
 
 
 def _start_reading(
@@ -276,11 +282,11 @@
     return bool(context.nodes.run(look()))
 
 
-def _measure(told: Told) -> float:
-    return (told.answered_at - told.asked_at) * MILLISECONDS
+def _measure(result: CallerResult) -> float:
+    return (result.answered_at - result.asked_at) * MILLISECONDS
 
 
-def _list_last(context: Any, seconds: float) -> list[Told]:
+def _list_last(context: Any, seconds: float) -> list[CallerResult]:
     since = context.nodes.time.read_now() - seconds
-    told: list[Told] = context.others.list_writes()
-    return [one for one in told if one.asked_at >= since]
+    results: list[CallerResult] = context.others.list_writes()
+    return [one for one in results if one.asked_at >= since]
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -52,7 +52,7 @@
 @when('the same caller runs "{text}"')
 def run_again(context: Any, text: str) -> None:
     asked = context.callers.ask(context.session, text)
-    context.told = context.nodes.run(asked)
+    context.result = context.nodes.run(asked)
 
 
 @when('a caller of "{database}" at "{node}" runs "{text}" across a suspension')
@@ -67,7 +67,7 @@
         bench.suspended += SUSPENSION
         # Only the proxy is suspended; the clock of the store goes on.
         bench.store.store.end_leases()
-        context.told = await asked
+        context.result = await asked
 
     bench.run(suspend())
 
@@ -111,9 +111,9 @@
 @then('no write has an unknown outcome')
 def check_no_unknown_outcome(context: Any) -> None:
     unknown = [
-        told
-        for told in context.callers.list_writes()
-        if isinstance(told.outcome.err(), Unknown)
+        result
+        for result in context.callers.list_writes()
+        if isinstance(result.outcome.err(), Unknown)
     ]
     assert not unknown, unknown
 
@@ -282,12 +282,12 @@
 
 @then('it is done')
 def check_done(context: Any) -> None:
-    assert context.told.is_done, context.told.outcome
+    assert context.result.is_done, context.result.outcome
 
 
 @then('it is done with "{row}"')
 def check_row(context: Any, row: str) -> None:
-    assert context.told.row == row, context.told.outcome
+    assert context.result.row == row, context.result.outcome
 
 
 @then('it is done within {limit:d} ms')
@@ -298,14 +298,14 @@
 
 @then('it is refused as not run within {limit:d} ms')
 def check_not_run(context: Any, limit: int) -> None:
-    assert isinstance(context.told.refusal, NotRun), context.told.outcome
-    assert context.told.refusal.retry_after > 0
+    assert isinstance(context.result.refusal, NotRun), context.result.outcome
+    assert context.result.refusal.retry_after > 0
     check_time(context, limit)
 
 
 @then('its outcome is unknown')
 def check_unknown(context: Any) -> None:
-    assert isinstance(context.told.refusal, Unknown), context.told.outcome
+    assert isinstance(context.result.refusal, Unknown), context.result.outcome
 
 
 @then('no write was done for {least:g} to {most:g} s at most')
@@ -317,16 +317,18 @@
 @then('every acknowledged write is on the primary')
 def check_kept(context: Any) -> None:
     primary = context.nodes.group.find_primary()
-    writes = [told for told in context.callers.list_writes() if told.is_done]
+    writes = [
+        result for result in context.callers.list_writes() if result.is_done
+    ]
     assert writes
-    for told in writes:
-        _, item, data = told.text.split()
-        assert primary.read(item) == data, told
+    for result in writes:
+        _, item, data = result.text.split()
+        assert primary.read(item) == data, result
 
 
 def check_time(context: Any, limit: int) -> None:
     """Check that the answer came within `limit` milliseconds."""
-    spent = context.told.answered_at - context.told.asked_at
+    spent = context.result.answered_at - context.result.asked_at
     assert spent * MILLISECONDS <= limit + 0.1, f'{spent:.3f} s'
 
 
--- a/tests/features/steps/platform_process_steps.py
+++ b/tests/features/steps/platform_process_steps.py
@@ -169,18 +169,20 @@
 @when('{count:d} callers open sessions at "{proxy}"')
 def open_many(context: Any, count: int, proxy: str) -> None:
     callers = [context.platform.call(proxy) for _ in range(count)]
-    context.told = [caller.connect('kigali')[0] for caller in callers]
+    context.first_lines = [caller.connect('kigali')[0] for caller in callers]
 
 
 @then('{count:d} of them are let in')
 def check_let_in(context: Any, count: int) -> None:
-    let_in = [line for line in context.told if line.startswith('READY')]
+    let_in = [line for line in context.first_lines if line.startswith('READY')]
     assert len(let_in) == count, len(let_in)
 
 
 @then('the others are told "{code}"')
 def check_others(context: Any, code: str) -> None:
-    others = [line for line in context.told if not line.startswith('READY')]
+    others = [
+        line for line in context.first_lines if not line.startswith('READY')
+    ]
     assert others
     assert all(line.startswith(code) for line in others), others
 
--- a/tests/features/steps/replacement_steps.py
+++ b/tests/features/steps/replacement_steps.py
@@ -59,7 +59,7 @@
         asked = create_task(context.callers.ask(session, 'WRITE turn 1'))
         await sleep(seconds)
         primary.thawed.set()
-        context.told = await asked
+        context.result = await asked
 
     bench.run(write_through())
 
@@ -96,20 +96,24 @@
 
 @then('the caller is told that the outcome is unknown')
 def check_doubt(context: Any) -> None:
-    assert isinstance(context.told.refusal, Unknown)
+    assert isinstance(context.result.refusal, Unknown)
 
 
 @then(
     'each read ended within {seconds:g} s, and none was refused for "{cause}"',
 )
 def check_reads(context: Any, seconds: float, cause: str) -> None:
-    reads = [told for told in context.callers.told if told.text == 'READ turn']
+    reads = [
+        result
+        for result in context.callers.results
+        if result.text == 'READ turn'
+    ]
     assert reads
     late = [
-        told
-        for told in reads
-        if told.answered_at - told.asked_at > seconds
-        or (not told.is_done and told.refusal.cause.value == cause)
+        result
+        for result in reads
+        if result.answered_at - result.asked_at > seconds
+        or (not result.is_done and result.refusal.cause.value == cause)
     ]
     assert not late, late
 
@@ -165,9 +169,9 @@
 
 def _list_terms(context: Any) -> list[int]:
     return [
-        told.outcome.ok_value.point.term
-        for told in context.callers.list_writes()
-        if told.is_done
+        result.outcome.ok_value.point.term
+        for result in context.callers.list_writes()
+        if result.is_done
     ]
 
 
@@ -219,7 +223,7 @@
 @then('every write was done')
 def check_all_done(context: Any) -> None:
     refused = [
-        told for told in context.callers.list_writes() if not told.is_done
+        result for result in context.callers.list_writes() if not result.is_done
     ]
     assert not refused, refused
 
--- a/tests/features/steps/statement_steps.py
+++ b/tests/features/steps/statement_steps.py
@@ -192,8 +192,14 @@
 
 @then('no read missed a write that was acknowledged {age:g} s before')
 def check_age(context: Any, age: float) -> None:
-    writes = [told for told in context.callers.list_writes() if told.is_done]
-    reads = [told for told in context.callers.told if told.text == 'READ item']
+    writes = [
+        result for result in context.callers.list_writes() if result.is_done
+    ]
+    reads = [
+        result
+        for result in context.callers.results
+        if result.text == 'READ item'
+    ]
     assert len(reads) > 50
     for read in reads:
         due = [
@@ -226,7 +232,7 @@
     bench.ask(writer, 'WRITE item 1')
     until = bench.time.read_now() + seconds
     sessions = [bench.open(node, database) for _ in range(count)]
-    context.reads_before = len(context.callers.told)
+    context.reads_before = len(context.callers.results)
     run_all(
         bench,
         [context.callers.read_on(one, until, 0.001) for one in sessions],
@@ -235,8 +241,8 @@
 
 @then('at least {count:d} reads were done since')
 def check_reads(context: Any, count: int) -> None:
-    since = context.callers.told[context.reads_before :]
-    done = [told for told in since if told.is_done]
+    since = context.callers.results[context.reads_before :]
+    done = [result for result in since if result.is_done]
     assert len(done) >= count, len(done)
 
 
@@ -273,13 +279,13 @@
     context.session = context.nodes.open(node, database)
     context.nodes.ask(context.session, 'BEGIN')
     asked = context.callers.ask(context.session, text)
-    context.told = context.nodes.run(asked)
-    assert context.told.is_done
+    context.result = context.nodes.run(asked)
+    assert context.result.is_done
 
 
 @then('its transaction is reported as rolled back')
 def check_undone(context: Any) -> None:
-    refusal = context.told.refusal
+    refusal = context.result.refusal
     assert isinstance(refusal, NotRun)
     assert refusal.cause is Cause.TRANSACTION_LOST, refusal
 
