--- a/src/sedgeshunt/connections/session_pool.py
+++ b/src/sedgeshunt/connections/session_pool.py
@@ -1,5 +1,6 @@
 """Pool sessions with one target."""
 
+from abc import ABC, abstractmethod
 from asyncio import (
     CancelledError,
     Task,
@@ -8,7 +9,6 @@
     get_running_loop,
     timeout_at,
 )
-from abc import ABC, abstractmethod
 from collections import Counter
 from collections.abc import Mapping
 from functools import partial
--- a/src/sedgeshunt/execution/copies.py
+++ b/src/sedgeshunt/execution/copies.py
@@ -6,8 +6,8 @@
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.groups.successors import covers
 from sedgeshunt.identifiers import CopyPlace, Monotonic, Seconds
-from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.group_ownership import GroupOwnership
+from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.registry.directory import GroupMembers, list_places
 
 # A restarted target is listed again within seconds, one behind a network
--- a/src/sedgeshunt/execution/group_owner.py
+++ b/src/sedgeshunt/execution/group_owner.py
@@ -16,8 +16,8 @@
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.execution.transactions import (
     OpenTransaction,
-    TransactionTable,
     TransactionExecutor,
+    TransactionTable,
 )
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds, TransactionId
--- a/src/sedgeshunt/execution/primary_context.py
+++ b/src/sedgeshunt/execution/primary_context.py
@@ -8,8 +8,8 @@
 from sedgeshunt.decisions import Decision, DecisionKind, DecisionLog
 from sedgeshunt.execution.replacement import PrimaryReplacement
 from sedgeshunt.identifiers import GroupId, ProxyId, TargetId
-from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.group_ownership import GroupOwnership
+from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.registry.configuration import LiveConfiguration
 
 
--- a/src/sedgeshunt/execution/primary_manager.py
+++ b/src/sedgeshunt/execution/primary_manager.py
@@ -7,21 +7,21 @@
 from sedgeshunt.connections.target_session import LogStatus
 from sedgeshunt.decisions import DecisionKind
 from sedgeshunt.execution.copies import CopyRecorder
-from sedgeshunt.execution.primary_context import PrimaryContext
-from sedgeshunt.execution.primary_finder import FoundPrimary, PrimaryFinder
-from sedgeshunt.execution.primary_probe import PrimaryProbe
-from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.draining import wait_drained, wait_idle
 from sedgeshunt.execution.primary_check import (
     CHECK_INTERVAL,
     STALL_TIMEOUT,
     PrimaryCheck,
     check_primary,
-    read_candidate_statuses,
     find_check_delay,
     has_answered_since,
     is_replacement_due,
+    read_candidate_statuses,
 )
+from sedgeshunt.execution.primary_context import PrimaryContext
+from sedgeshunt.execution.primary_finder import FoundPrimary, PrimaryFinder
+from sedgeshunt.execution.primary_probe import PrimaryProbe
+from sedgeshunt.execution.primary_state import PrimaryState
 from sedgeshunt.execution.target_executor import TargetExecutor
 from sedgeshunt.groups.points import Point
 from sedgeshunt.identifiers import (
--- a/src/sedgeshunt/execution/replacement.py
+++ b/src/sedgeshunt/execution/replacement.py
@@ -26,8 +26,8 @@
     is_safe_choice,
 )
 from sedgeshunt.identifiers import Seconds, TargetId, Term
-from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.group_ownership import GroupOwnership
+from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.registry.directory import (
     GroupMembers,
     KnownTarget,
--- a/src/sedgeshunt/membership/heartbeats.py
+++ b/src/sedgeshunt/membership/heartbeats.py
@@ -24,8 +24,8 @@
 from sedgeshunt.ownership.promises import (
     OUTAGE_PROMISE_TIME,
     PROMISE_TIME,
-    PromisesReceived,
     PromisesMade,
+    PromisesReceived,
 )
 from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.releases import Releases
--- a/src/sedgeshunt/node_service.py
+++ b/src/sedgeshunt/node_service.py
@@ -44,7 +44,7 @@
 from sedgeshunt.node_settings import NodeSettings
 from sedgeshunt.ownership.claims import ClaimContext
 from sedgeshunt.ownership.lease import InstanceLease
-from sedgeshunt.ownership.promises import PromisesReceived, PromisesMade
+from sedgeshunt.ownership.promises import PromisesMade, PromisesReceived
 from sedgeshunt.ownership.records import GroupRecords
 from sedgeshunt.ownership.releases import Releases
 from sedgeshunt.ports import KeyValueService
@@ -59,8 +59,8 @@
 from sedgeshunt.statements.dispatch import Dispatcher
 from sedgeshunt.statements.owners import OwnerDirectory
 from sedgeshunt.statements.peer_requests import (
-    ReachablePeers,
     LocalRequestHandler,
+    ReachablePeers,
 )
 from sedgeshunt.statements.records import StatementRecorder
 from sedgeshunt.statements.session import (
--- a/src/sedgeshunt/ownership/claims.py
+++ b/src/sedgeshunt/ownership/claims.py
@@ -20,18 +20,18 @@
     Seconds,
     ZoneId,
 )
+from sedgeshunt.ownership.group_ownership import (
+    MAX_EXTENSION,
+    GroupOwnership,
+)
 from sedgeshunt.ownership.lease import InstanceLease
 from sedgeshunt.ownership.promises import (
     OUTAGE_PROMISE_TIME,
-    PromisesReceived,
     PromisesMade,
+    PromisesReceived,
 )
 from sedgeshunt.ownership.ranking import choose_candidates, rank_owners
 from sedgeshunt.ownership.records import GroupRecords
-from sedgeshunt.ownership.group_ownership import (
-    MAX_EXTENSION,
-    GroupOwnership,
-)
 from sedgeshunt.ownership.releases import Releases
 from sedgeshunt.registry.entries import GroupRecord, InstanceEntry
 
--- a/src/sedgeshunt/ownership/records.py
+++ b/src/sedgeshunt/ownership/records.py
@@ -23,8 +23,8 @@
     TargetLife,
     Term,
 )
-from sedgeshunt.ownership.lease import InstanceLease
 from sedgeshunt.ownership.group_ownership import GroupOwnership
+from sedgeshunt.ownership.lease import InstanceLease
 from sedgeshunt.ports import (
     CommitResult,
     Compare,
@@ -35,8 +35,8 @@
 from sedgeshunt.registry.current_store import CurrentStore
 from sedgeshunt.registry.entries import (
     GroupRecord,
-    PrimaryNote,
     OwnerEntry,
+    PrimaryNote,
     ReplacementIntent,
     encode_entry,
     read_entry,
--- a/src/sedgeshunt/statements/session.py
+++ b/src/sedgeshunt/statements/session.py
@@ -31,7 +31,7 @@
     Unknown,
 )
 from sedgeshunt.statements.call import Access, CallKind, StatementCall
-from sedgeshunt.statements.dispatch import DispatchResult, Dispatcher
+from sedgeshunt.statements.dispatch import Dispatcher, DispatchResult
 from sedgeshunt.statements.records import StatementRecord, StatementRecorder
 from sedgeshunt.statements.sites import CallSite
 from sedgeshunt.statements.statement import (
--- a/src/sedgeshunt/statements/sites.py
+++ b/src/sedgeshunt/statements/sites.py
@@ -8,8 +8,8 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.execution.group_access import GroupAccess
 from sedgeshunt.execution.transactions import (
-    TransactionTable,
     TransactionHost,
+    TransactionTable,
 )
 from sedgeshunt.forwarding.link import PeerLink
 from sedgeshunt.identifiers import Monotonic, Seconds, TransactionId
--- a/tests/features/steps/entries_steps.py
+++ b/tests/features/steps/entries_steps.py
@@ -10,10 +10,10 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
+from sedgeshunt.customers.directory import DIGEST_BYTES
 from sedgeshunt.decisions import DecisionKind, MemoryDecisionLog
 from sedgeshunt.exceptions import SedgeshuntError
 from sedgeshunt.identifiers import GroupId, Revision
-from sedgeshunt.customers.directory import DIGEST_BYTES
 from sedgeshunt.platform.callers import read_start
 from sedgeshunt.platform.documents import (
     CONFIGURATION_KEY,
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -8,12 +8,12 @@
 from sedgeshunt.clocks import read_boottime
 from sedgeshunt.decisions import DecisionKind
 from sedgeshunt.identifiers import GroupId, OwnerToken, ProxyId, Seconds
+from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.ownership.promises import (
     PROMISE_TIME,
-    PromisesReceived,
     PromisesMade,
+    PromisesReceived,
 )
-from sedgeshunt.ownership.group_ownership import GroupOwnership
 from sedgeshunt.registry.keys import make_owner_key
 from sedgeshunt.requests.outcome import NotRun, Unknown
 from tests.features.node_bench import GROUP, ROUTES
--- a/tests/features/steps/routing_steps.py
+++ b/tests/features/steps/routing_steps.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from async_solipsism import EventLoop
-from msgspec.structs import replace
 from behave import given, then, when
 from msgspec import convert
+from msgspec.structs import replace
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.configuration.objects import (
--- a/tests/features/steps/watermarks_steps.py
+++ b/tests/features/steps/watermarks_steps.py
@@ -11,8 +11,8 @@
 from sedgeshunt.groups.quorum import Watermark
 from sedgeshunt.groups.status import Observation, Role, TargetStatus
 from sedgeshunt.groups.watermarks import (
-    MAX_WATERMARK_AGE,
     MAX_MARKS,
+    MAX_WATERMARK_AGE,
     WatermarkSeries,
 )
 from sedgeshunt.identifiers import Monotonic, Position, TargetId, Term
--- a/tests/standins/executors.py
+++ b/tests/standins/executors.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-
 from msgspec.structs import replace
 
 from sedgeshunt.exceptions import TargetRejected
