--- a/benchmarks/capacity_objects.py
+++ b/benchmarks/capacity_objects.py
@@ -18,7 +18,7 @@
     Proxy,
     Target,
 )
-from sedgeshunt.configuration.reach import Reach
+from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.decisions import MemoryDecisionLog
 from sedgeshunt.identifiers import GroupId, Revision, TargetId, ZoneId
@@ -107,11 +107,11 @@
     active = _make_active()
     event = _make_event(listing)
     start()
-    active.take_listing(listing)
+    active.apply_listing(listing)
     memory = get_traced_memory()[0]
     stop()
     copy = active.encode_copy(Revision(0))
-    reach = Reach(active.snapshot)
+    reach = SelectorMatcher(active.snapshot)
     proxy = next(iter(active.snapshot.proxies.values()))
     group = next(iter(active.snapshot.groups))
     return Costs(
@@ -132,12 +132,12 @@
 
 
 def _list(active: ActiveConfiguration, listing: Listing) -> None:
-    active.take_listing(listing)
+    active.apply_listing(listing)
     active.snapshot.list_targets(GroupId('songbook-0000'))
 
 
 def _change(active: ActiveConfiguration, event: WatchEvent) -> None:
-    active.take_events([event])
+    active.apply_events([event])
     # The index is built at the first question after a change.
     active.snapshot.list_targets(GroupId('songbook-0000'))
 
@@ -166,7 +166,7 @@
 
 def _make_loaded(listing: Listing) -> ActiveConfiguration:
     active = _make_active()
-    active.take_listing(listing)
+    active.apply_listing(listing)
     return active
 
 
--- a/src/sedgeshunt/cli/description.py
+++ b/src/sedgeshunt/cli/description.py
@@ -22,7 +22,7 @@
     Route,
     Target,
 )
-from sedgeshunt.configuration.reach import Reach
+from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.configuration.store import ABSENT, read_store
 from sedgeshunt.ports import KeyValueService
@@ -57,7 +57,7 @@
 ) -> Description:
     stored = await read_store(platform)
     declared = find_stored(stored, key)
-    changes = await ChangeHistory(platform).list_rivals([key], ABSENT)
+    changes = await ChangeHistory(platform).list_changes_to([key], ABSENT)
     return Description(
         view_object(stored, declared),
         _list_related(stored.snapshot, declared),
@@ -69,7 +69,7 @@
     snapshot: Snapshot,
     declared: ConfigurationObject,
 ) -> dict[str, list[str]]:
-    reach = Reach(snapshot)
+    reach = SelectorMatcher(snapshot)
     match declared:
         case Group():
             proxies = reach.list_group_proxies(declared.name)
--- a/src/sedgeshunt/cli/line.py
+++ b/src/sedgeshunt/cli/line.py
@@ -99,13 +99,13 @@
 
     def _report_interrupt(self) -> ExitCode:
         registry = self._context.registry
-        if registry is None or registry.unsettled is None:
+        if registry is None or registry.unconfirmed is None:
             self._console.tell('interrupted; nothing was left half done')
             return ExitCode.INTERRUPTED
         # The change is one commit: it took effect whole or not at all.
         self._console.tell(
-            f'interrupted while change {registry.unsettled} was on its way; '
-            + f'run "{NAME} history --change {registry.unsettled}" to see '
+            f'interrupted while change {registry.unconfirmed} was on its way; '
+            + f'run "{NAME} history --change {registry.unconfirmed}" to see '
             + 'whether it took effect',
         )
         return ExitCode.INTERRUPTED
--- a/src/sedgeshunt/configuration/active.py
+++ b/src/sedgeshunt/configuration/active.py
@@ -25,7 +25,7 @@
 from sedgeshunt.ports import ConfigurationCopy, Listing, WatchEvent
 
 
-class WatchDisordered(Exception):
+class EventsOutOfOrder(Exception):
     """Say that a watch went backwards and that events may be missing."""
 
 
@@ -68,14 +68,14 @@
             self._copy = ConfigurationCopy(revision, document)
         return self._copy
 
-    def take_listing(self, listing: Listing) -> bool:
+    def apply_listing(self, listing: Listing) -> bool:
         """Put a listing in force; refuse one that is older."""
         # A restarted watch may land on a member of the service that lags. Its
         # listing would take back changes that operators saw in force.
         if listing.revision < self.known:
             self._refuse('listing', f'revision {listing.revision} is older')
             return False
-        listed = self._keep_unreadable(read_listing(listing))
+        listed = self._restore_unreadable(read_listing(listing))
         self._read_up_to = listing.revision
         if listed.revision <= self.snapshot.revision:
             # A deletion that went past the command line leaves no newer key.
@@ -83,10 +83,10 @@
             if listed == self.snapshot:
                 return True
             listed = replace(listed, revision=listing.revision)
-        self._put_in_force(listed, 'listing')
+        self._activate(listed, 'listing')
         return True
 
-    def take_copy(self, copy: ConfigurationCopy) -> bool:
+    def apply_copy(self, copy: ConfigurationCopy) -> bool:
         """Put a peer's configuration in force if it is newer."""
         decoded = decode_snapshot(copy.document)
         if isinstance(decoded, Err):
@@ -95,10 +95,10 @@
         if decoded.ok_value.revision <= self.snapshot.revision:
             self._refuse('peer', f'revision {copy.revision} is not newer')
             return False
-        self._put_in_force(decoded.ok_value, 'peer')
+        self._activate(decoded.ok_value, 'peer')
         return True
 
-    def take_events(self, events: Sequence[WatchEvent]) -> None:
+    def apply_events(self, events: Sequence[WatchEvent]) -> None:
         """Put changes in force; raise WatchDisordered."""
         revisions = [event.revision for event in events]
         if not revisions:
@@ -107,7 +107,7 @@
         # applying them would revert newer ones, dropping them would lose
         # theirs. Only a listing tells what holds.
         if revisions[0] <= self._read_up_to or revisions != sorted(revisions):
-            raise WatchDisordered
+            raise EventsOutOfOrder
         self._read_up_to = revisions[-1]
         # A peer's copy may have brought some of them before the watch did.
         newer = [
@@ -116,7 +116,7 @@
         if newer:
             edits = self._read_edits(newer)
             changed = change_snapshot(self.snapshot, revisions[-1], edits)
-            self._put_in_force(changed, 'watch')
+            self._activate(changed, 'watch')
 
     def _read_edits(self, events: Sequence[WatchEvent]) -> Edits:
         edits: dict[ObjectKey, ConfigurationObject | None] = {}
@@ -134,7 +134,7 @@
                 edits[key] = decoded.ok_value
         return edits
 
-    def _keep_unreadable(self, stored: StoredConfiguration) -> Snapshot:
+    def _restore_unreadable(self, stored: StoredConfiguration) -> Snapshot:
         # One damaged value must neither take an object away from callers nor
         # hold up all other changes.
         kept: dict[ObjectKey, ConfigurationObject | None] = {}
@@ -143,7 +143,7 @@
             kept[key] = find_object(self.snapshot, key)
         return change_snapshot(stored.snapshot, stored.snapshot.revision, kept)
 
-    def _put_in_force(self, snapshot: Snapshot, source: str) -> None:
+    def _activate(self, snapshot: Snapshot, source: str) -> None:
         before = self.snapshot.revision
         self.snapshot = snapshot
         self._decisions.record(
--- a/src/sedgeshunt/configuration/checks.py
+++ b/src/sedgeshunt/configuration/checks.py
@@ -26,7 +26,7 @@
     note_error,
     note_warning,
 )
-from sedgeshunt.configuration.reach import Reach
+from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 
 _LEAST_BY_FIELD = {
@@ -116,7 +116,7 @@
 
 
 def _check_reach(snapshot: Snapshot) -> Iterator[Problem]:
-    reach = Reach(snapshot)
+    reach = SelectorMatcher(snapshot)
     for proxy in snapshot.proxies.values():
         if snapshot.groups and not reach.list_proxy_groups(proxy):
             yield note_warning(
@@ -134,7 +134,9 @@
     yield from _check_overlaps(snapshot, reach)
 
 
-def _check_overlaps(snapshot: Snapshot, reach: Reach) -> Iterator[Problem]:
+def _check_overlaps(
+    snapshot: Snapshot, reach: SelectorMatcher
+) -> Iterator[Problem]:
     # With two routes for one class and group it depends on the reader which
     # deadline and age hold; operators could not tell from the outside.
     first: dict[tuple[str, str], Route] = {}
--- a/src/sedgeshunt/configuration/settling.py
+++ b/src/sedgeshunt/configuration/committer.py
@@ -15,7 +15,7 @@
 LONGEST_PAUSE = Seconds(2)
 
 
-class Settler:
+class Committer:
     """Commit transactions through lost answers."""
 
     def __init__(self, platform: KeyValueService, random: Random) -> None:
@@ -24,7 +24,7 @@
         self._history = ChangeHistory(platform)
         self._random = random
 
-    async def settle(self, transaction: Transaction) -> CommitResult:
+    async def commit(self, transaction: Transaction) -> CommitResult:
         """Commit once; raise PlatformUnavailable, or AnswerLost at the end."""
         # An answer can be lost after the change took effect, and the change
         # can still be under way while it is looked for in vain. Sending the
@@ -38,7 +38,7 @@
             if outcome is not None and (outcome.succeeded or not sent):
                 return outcome
             sent = True
-            settled = await self._read_back(transaction, outcome)
+            settled = await self._look_up_outcome(transaction, outcome)
             if settled is not None:
                 return settled
             await sleep(pause * self._random.uniform(0.5, 1))
@@ -64,7 +64,7 @@
                 return None
             raise
 
-    async def _read_back(
+    async def _look_up_outcome(
         self,
         transaction: Transaction,
         refused: CommitResult | None,
--- a/src/sedgeshunt/configuration/rivals.py
+++ b/src/sedgeshunt/configuration/conflicts.py
@@ -11,7 +11,7 @@
 from sedgeshunt.ports import KeyValueService
 
 
-class RivalCheck:
+class ConflictCheck:
     """Refuse to change what others changed first, and name them."""
 
     def __init__(self, platform: KeyValueService) -> None:
@@ -31,7 +31,7 @@
         # others changed since; also what they deleted, which only the log
         # still tells.
         keys = tuple(intent.plan(stored.snapshot))
-        rivals = await self._history.list_rivals(keys, expected)
+        rivals = await self._history.list_changes_to(keys, expected)
         newer = [key for key in keys if stored.read_revision(key) > expected]
         if rivals or newer:
             raise RevisionConflict(keys, rivals)
@@ -58,5 +58,5 @@
     ) -> RevisionConflict:
         """Return the conflict with what rivals did since `first`."""
         revision = first.snapshot.revision
-        rivals = await self._history.list_rivals(keys, revision)
+        rivals = await self._history.list_changes_to(keys, revision)
         return RevisionConflict(keys, rivals)
--- a/src/sedgeshunt/configuration/errors.py
+++ b/src/sedgeshunt/configuration/errors.py
@@ -20,13 +20,13 @@
         """Keep the objects in question and the rivals' changes to them."""
         super().__init__(keys, rivals)
         self.keys = tuple(keys)
-        self.rivals = tuple(rivals)
+        self.conflicting = tuple(rivals)
 
     def format_message(self) -> str:
         """Name who changed what and how to go on."""
         names = ', '.join(str(key) for key in self.keys)
         lines = [f'{names} changed since it was read; nothing was changed']
-        for rival in self.rivals:
+        for rival in self.conflicting:
             record = rival.record
             lines.append(
                 f'  - {record.author} at {record.at}, '
--- a/src/sedgeshunt/configuration/feed.py
+++ b/src/sedgeshunt/configuration/feed.py
@@ -8,7 +8,7 @@
 
 from sedgeshunt.configuration.active import (
     ActiveConfiguration,
-    WatchDisordered,
+    EventsOutOfOrder,
 )
 from sedgeshunt.configuration.keys import OBJECTS_PREFIX
 from sedgeshunt.configuration.snapshot import Snapshot
@@ -61,7 +61,7 @@
         self._failures = 0
         # A watch cannot start at or below this revision: nothing was read
         # yet, or the changes past it are no longer kept. None: it can.
-        self._gap: Revision | None = NOTHING
+        self._resync_after: Revision | None = NOTHING
 
     @property
     def snapshot(self) -> Snapshot:
@@ -93,8 +93,8 @@
         while True:
             try:
                 await self._follow_until_down()
-            except (WatchCompacted, WatchDisordered):
-                self._gap = self._active.known
+            except (WatchCompacted, EventsOutOfOrder):
+                self._resync_after = self._active.known
                 await self._ask_peer()
             self._watch_is_up = False
             await self._pause()
@@ -104,25 +104,27 @@
             await self._follow_watch()
 
     async def _follow_watch(self) -> None:
-        if self._gap is not None and not await self._close_gap(self._gap):
+        if self._resync_after is not None and not await self._resync(
+            self._resync_after,
+        ):
             return
-        self._gap = None
+        self._resync_after = None
         watch = self._platform.watch(OBJECTS_PREFIX, self._active.known)
         async with AsyncExitStack() as owned:
             if isinstance(watch, AsyncGenerator):
                 owned.push_async_callback(watch.aclose)
             self._watch_is_up = True
             async for events in watch:
-                self._active.take_events(events)
+                self._active.apply_events(events)
                 self._watch_is_up = True
                 self._failures = 0
 
-    async def _close_gap(self, gap: Revision) -> bool:
+    async def _resync(self, gap: Revision) -> bool:
         if self._active.known > gap:
             return True
         async with timeout(LIST_TIMEOUT):
             listing = await self._platform.list_prefix(OBJECTS_PREFIX)
-        return self._active.take_listing(listing)
+        return self._active.apply_listing(listing)
 
     async def _follow_peers(self) -> None:
         while True:
@@ -132,7 +134,7 @@
 
     async def _ask_peer(self) -> None:
         copy = await self._peers.copy_newer(self._active.snapshot.revision)
-        if copy is not None and self._active.take_copy(copy):
+        if copy is not None and self._active.apply_copy(copy):
             # A peer knew more than the watch brought, so the watch may hang.
             # Until it brings something, peers are the faster source.
             self._watch_is_up = False
--- a/src/sedgeshunt/configuration/history.py
+++ b/src/sedgeshunt/configuration/history.py
@@ -40,7 +40,7 @@
                 return ChangeLookup(listing.revision, recorded)
         return ChangeLookup(listing.revision, None)
 
-    async def list_rivals(
+    async def list_changes_to(
         self,
         keys: Sequence[ObjectKey],
         after: Revision,
--- a/src/sedgeshunt/configuration/placement_checks.py
+++ b/src/sedgeshunt/configuration/placement_checks.py
@@ -9,7 +9,7 @@
     note_error,
     note_warning,
 )
-from sedgeshunt.configuration.reach import Reach
+from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.connections.shares import UNSEATED_PROXY_CONNECTIONS
 from sedgeshunt.ports import Address
@@ -47,7 +47,7 @@
                 f'group "{target.group}" is not declared; add a [[group]] '
                 + 'of that name or correct the field',
             )
-    reach = Reach(snapshot)
+    reach = SelectorMatcher(snapshot)
     for group in snapshot.groups.values():
         yield from _check_limits(group)
         yield from _check_members(snapshot, group)
@@ -114,7 +114,7 @@
         )
 
 
-def _check_seats(reach: Reach, group: Group) -> Iterator[Problem]:
+def _check_seats(reach: SelectorMatcher, group: Group) -> Iterator[Problem]:
     serving = len(reach.list_group_proxies(group.name))
     if serving > group.seats:
         yield note_warning(
--- a/src/sedgeshunt/configuration/registry.py
+++ b/src/sedgeshunt/configuration/registry.py
@@ -8,6 +8,8 @@
 
 from sedgeshunt.configuration.changes import ChangeRecord
 from sedgeshunt.configuration.checks import list_errors
+from sedgeshunt.configuration.committer import Committer
+from sedgeshunt.configuration.conflicts import ConflictCheck
 from sedgeshunt.configuration.differences import ObjectEdit, compare_edits
 from sedgeshunt.configuration.edits import Edits, change_snapshot
 from sedgeshunt.configuration.errors import ObjectsInvalid
@@ -19,8 +21,6 @@
 )
 from sedgeshunt.configuration.keys import ObjectKey
 from sedgeshunt.configuration.objects import ConfigurationObject
-from sedgeshunt.configuration.rivals import RivalCheck
-from sedgeshunt.configuration.settling import Settler
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.configuration.store import (
     StoredConfiguration,
@@ -56,11 +56,11 @@
         """Write to `platform`, recording `author` with each change."""
         # The change that was sent and whose fate is not known yet, for the
         # message to an operator who interrupts.
-        self.unsettled: ChangeId | None = None
+        self.unconfirmed: ChangeId | None = None
         self._platform = platform
         self._author = author
-        self._settler = Settler(platform, random or Random())
-        self._rivals = RivalCheck(platform)
+        self._committer = Committer(platform, random or Random())
+        self._conflicts = ConflictCheck(platform)
 
     async def read(self) -> StoredConfiguration:
         """Read all objects; raise PlatformUnavailable."""
@@ -119,14 +119,14 @@
         ChangeTooLarge, PlatformUnavailable or AnswerLost.
         """
         first = await self.read()
-        await self._rivals.refuse_newer(first, intent, expected)
+        await self._conflicts.refuse_newer(first, intent, expected)
         stored = first
         for _ in range(ROUNDS):
             applied = await self._attempt(stored, intent, message)
             if applied is not None:
                 return applied
             stored = await self._read_again(first, intent)
-        raise await self._rivals.describe(intent.keys, first)
+        raise await self._conflicts.describe(intent.keys, first)
 
     async def _read_again(
         self,
@@ -134,7 +134,7 @@
         intent: Intent,
     ) -> StoredConfiguration:
         stored = await self.read()
-        await self._rivals.refuse_changed(first, stored, intent)
+        await self._conflicts.refuse_changed(first, stored, intent)
         return stored
 
     async def _attempt(
@@ -175,9 +175,9 @@
     ) -> Revision | None:
         kept = await read_kept_changes(self._platform)
         transaction = prepare_transaction(stored, kept, edits, record)
-        self.unsettled = record.change
-        outcome = await self._settler.settle(transaction)
-        self.unsettled = None
+        self.unconfirmed = record.change
+        outcome = await self._committer.commit(transaction)
+        self.unconfirmed = None
         return outcome.revision if outcome.succeeded else None
 
 
--- a/src/sedgeshunt/configuration/reach.py
+++ b/src/sedgeshunt/configuration/selector_matcher.py
@@ -13,7 +13,7 @@
 _Labelled = TypeVar('_Labelled', Group, Target)
 
 
-class Reach:
+class SelectorMatcher:
     """Answer which groups and targets one snapshot's selectors match."""
 
     def __init__(self, snapshot: Snapshot) -> None:
--- a/src/sedgeshunt/membership/peers.py
+++ b/src/sedgeshunt/membership/peers.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from sedgeshunt.configuration.feed import PeerSource
-from sedgeshunt.configuration.reach import Reach
+from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.decisions import DecisionLog
 from sedgeshunt.exceptions import PeerUnreachable
@@ -52,7 +52,7 @@
         self._zone = zone
         self._directory = directory
         self._random = random or Random()
-        self._reach = Reach(Snapshot())
+        self._reach = SelectorMatcher(Snapshot())
         self._peers: Sequence[KnownPeer] = ()
         self._regular: set[Address] = set()
         self._mesh = PeerMesh(
@@ -64,7 +64,7 @@
     def apply(self, snapshot: Snapshot) -> None:
         """Take the declared proxies from a snapshot."""
         self._directory.apply(snapshot)
-        self._reach = Reach(snapshot)
+        self._reach = SelectorMatcher(snapshot)
 
     async def run(self) -> None:
         """Poll the chosen peers until cancelled."""
--- a/src/sedgeshunt/served_groups.py
+++ b/src/sedgeshunt/served_groups.py
@@ -8,7 +8,7 @@
 from sedgeshunt.burn.gap_watch import GapNote, GapWatch
 from sedgeshunt.clocks import PauseWatch
 from sedgeshunt.configuration.objects import Group, Target
-from sedgeshunt.configuration.reach import Reach
+from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.connections.pool import TargetPool
 from sedgeshunt.connections.seats import SeatHolder
@@ -95,7 +95,7 @@
         if own is None:
             # Not declared yet: an instance that was just added serves all.
             return list(snapshot.groups)
-        return Reach(snapshot).list_proxy_groups(own)
+        return SelectorMatcher(snapshot).list_proxy_groups(own)
 
     def _make_runtime(self, group: Group) -> GroupRuntime:
         parts = self._parts
@@ -150,7 +150,7 @@
     def _list_proxies(self, group: GroupId) -> list[ProxyId]:
         # Proxies that serve other groups never promote this one; ranked with
         # them, its promoter would hold back for each of a whole fleet.
-        reach = Reach(self._snapshot)
+        reach = SelectorMatcher(self._snapshot)
         serving = {proxy.name for proxy in reach.list_group_proxies(group)}
         live = self._parts.roster.list_live_proxies()
         declared = [proxy for proxy in live if proxy in serving]
--- a/tests/features/promise_safeguards.py
+++ b/tests/features/promise_safeguards.py
@@ -7,9 +7,9 @@
 from result import Ok
 
 from sedgeshunt.configuration.active import ActiveConfiguration
+from sedgeshunt.configuration.committer import Committer
 from sedgeshunt.configuration.feed import ConfigurationFeed
 from sedgeshunt.configuration.objects import Target
-from sedgeshunt.configuration.settling import Settler
 from sedgeshunt.configuration.store import read_listing
 from sedgeshunt.connections.pool import AcquiredConnection, TargetPool
 from sedgeshunt.connections.seats import SeatHolder
@@ -99,7 +99,7 @@
 
 
 def _accept_listing(active: ActiveConfiguration, listing: Any) -> bool:
-    active._put_in_force(read_listing(listing).snapshot, 'listing')
+    active._activate(read_listing(listing).snapshot, 'listing')
     active._read_up_to = listing.revision
     return True
 
@@ -132,13 +132,13 @@
     'peers': (_NO_PEERS,),
     'new listing': (
         _NO_PEERS,
-        (ConfigurationFeed, '_close_gap', _return_last),
+        (ConfigurationFeed, '_resync', _return_last),
     ),
     'no downgrade': (
         _NO_PEERS,
-        (ActiveConfiguration, 'take_listing', _accept_listing),
+        (ActiveConfiguration, 'apply_listing', _accept_listing),
     ),
-    'reading back': ((Settler, '_read_back', _return_refusal),),
+    'reading back': ((Committer, '_look_up_outcome', _return_refusal),),
     'compare-and-swap': ((MemoryKeyValue, 'commit', _commit_unconditionally),),
     'age limit': ((GroupView, 'measure_age', _return_zero_age),),
     'age kept': ((GroupView, 'measure_age', _measure_with_majority),),
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -139,10 +139,10 @@
 @then('one change is refused as a conflict that names the other')
 def check_conflict(context: Any) -> None:
     conflict, applied = split(context.results, RevisionConflict)
-    assert [rival.record.change for rival in conflict.rivals] == [
+    assert [rival.record.change for rival in conflict.conflicting] == [
         applied.change,
     ]
-    assert conflict.rivals[0].record.author in str(conflict)
+    assert conflict.conflicting[0].record.author in str(conflict)
     assert 'merge your change and apply it again' in str(conflict)
 
 
