--- a/src/sedgeshunt/configuration/__init__.py
+++ b/src/sedgeshunt/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what operators declare, and apply it only upwards."""
+"""Store operator configuration and apply only newer revisions of it."""
--- a/src/sedgeshunt/configuration/active.py
+++ b/src/sedgeshunt/configuration/active.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force and let it move only upwards."""
+"""Hold the active configuration and never revert it to an older one."""
 
 from asyncio import Event
 from collections.abc import Callable, Sequence
@@ -26,40 +26,40 @@
 
 
 class EventsOutOfOrder(Exception):
-    """Say that a watch went backwards and that events may be missing."""
+    """Report watch events out of order, so that some may be missing."""
 
 
 class ActiveConfiguration:
-    """Replace the snapshot in force whole, by newer ones only."""
+    """Hold the active snapshot, replaced atomically and only by newer ones."""
 
     def __init__(
         self,
         on_change: Callable[[Snapshot], None],
         decisions: DecisionLog,
     ) -> None:
-        """Start with nothing declared."""
+        """Start with an empty snapshot."""
         self.snapshot = Snapshot()
         self._on_change = on_change
         self._decisions = decisions
-        # The store's own revision runs ahead of the snapshot's, as it counts
-        # writes to other keys too.
+        # The store's revision can be higher than the snapshot's because it
+        # also counts writes to other keys.
         self._read_up_to = Revision(0)
         self._applied = Event()
         self._copy = ConfigurationCopy(Revision(0), b'')
 
     @property
     def known(self) -> Revision:
-        """Return the store's revision up to which all changes are known."""
+        """Return the store revision up to which all changes are known."""
         return max(self._read_up_to, self.snapshot.revision)
 
     async def wait_revision(self, revision: Revision) -> Snapshot:
-        """Wait until `revision` or a newer one is in force."""
+        """Wait until `revision` or a newer one is active."""
         while self.snapshot.revision < revision:
             await self._applied.wait()
         return self.snapshot
 
     def encode_copy(self, known: Revision) -> ConfigurationCopy | None:
-        """Return the snapshot for a peer, None if `known` is as new."""
+        """Return the encoded snapshot, or None if `known` is as new."""
         revision = self.snapshot.revision
         if revision <= known:
             return None
@@ -69,16 +69,16 @@
         return self._copy
 
     def apply_listing(self, listing: Listing) -> bool:
-        """Put a listing in force; refuse one that is older."""
-        # A restarted watch may land on a member of the service that lags. Its
-        # listing would take back changes that operators saw in force.
+        """Activate a listing; return False if it is older."""
+        # A restarted watch may connect to a lagging member of the store. Its
+        # listing would revert changes that were already active.
         if listing.revision < self.known:
             self._refuse('listing', f'revision {listing.revision} is older')
             return False
         listed = self._restore_unreadable(read_listing(listing))
         self._read_up_to = listing.revision
         if listed.revision <= self.snapshot.revision:
-            # A deletion that went past the command line leaves no newer key.
+            # A key deleted directly in the store leaves no newer revision.
             listed = replace(listed, revision=self.snapshot.revision)
             if listed == self.snapshot:
                 return True
@@ -87,7 +87,7 @@
         return True
 
     def apply_copy(self, copy: ConfigurationCopy) -> bool:
-        """Put a peer's configuration in force if it is newer."""
+        """Activate a peer's configuration if it is newer."""
         decoded = decode_snapshot(copy.document)
         if isinstance(decoded, Err):
             self._refuse('peer', decoded.err_value)
@@ -99,17 +99,17 @@
         return True
 
     def apply_events(self, events: Sequence[WatchEvent]) -> None:
-        """Put changes in force; raise WatchDisordered."""
+        """Apply watch events; raise WatchDisordered."""
         revisions = [event.revision for event in events]
         if not revisions:
             return
-        # Events that come late belong before what is in force already:
-        # applying them would revert newer ones, dropping them would lose
-        # theirs. Only a listing tells what holds.
+        # Late events precede the active configuration: applying them would
+        # revert newer changes, dropping them would lose changes. Only a
+        # listing shows the current state.
         if revisions[0] <= self._read_up_to or revisions != sorted(revisions):
             raise EventsOutOfOrder
         self._read_up_to = revisions[-1]
-        # A peer's copy may have brought some of them before the watch did.
+        # A peer's copy may already include some of these changes.
         newer = [
             event for event in events if event.revision > self.snapshot.revision
         ]
@@ -135,8 +135,8 @@
         return edits
 
     def _restore_unreadable(self, stored: StoredConfiguration) -> Snapshot:
-        # One damaged value must neither take an object away from callers nor
-        # hold up all other changes.
+        # A value that cannot be decoded must not remove the object or block
+        # other changes, so the last readable version stays active.
         kept: dict[ObjectKey, ConfigurationObject | None] = {}
         for key, reason in stored.unreadable.items():
             self._refuse('listing', f'{key}: {reason}')
@@ -157,7 +157,7 @@
             ),
         )
         self._on_change(snapshot)
-        # Whoever waits holds the old event and looks again.
+        # Waiters hold the old event and check the revision again.
         self._applied.set()
         self._applied = Event()
 
--- a/src/sedgeshunt/configuration/changes.py
+++ b/src/sedgeshunt/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Record who changed what, and when."""
+"""Define the audit record of a configuration change."""
 
 from collections.abc import Sequence
 
@@ -9,25 +9,25 @@
 from sedgeshunt.configuration.keys import ObjectKey
 from sedgeshunt.identifiers import ChangeId, Revision
 
-# The service holds values up to a megabyte and proxies never read these; a
-# record that lists many whole objects is cut rather than refused.
-RECORD_LIMIT = 65536
+# In bytes. The store accepts values up to a megabyte and proxies never read
+# these records; a record over the limit is truncated rather than rejected.
+MAX_RECORD_BYTES = 65536
 
 
 class ChangeRecord(Struct, frozen=True):
-    """Hold one change as the platform keeps it."""
+    """Hold one change as it is stored."""
 
     change: ChangeId
     author: str
-    # Wall clock of the author's machine in UTC, for people only.
+    # Clock of the author's machine in UTC; for display only, never compared.
     at: str
     message: str
     edits: tuple[ObjectEdit, ...]
-    # Objects whose edits were left out to keep the record small.
+    # Objects whose edits were left out to keep the record within the limit.
     omitted: tuple[str, ...] = ()
 
     def touches(self, keys: Sequence[ObjectKey]) -> bool:
-        """Tell whether the change edits one of `keys`."""
+        """Return whether the change edits one of `keys`."""
         names = {str(key) for key in keys}
         edited = {str(edit.key) for edit in self.edits}
         return not names.isdisjoint(edited.union(self.omitted))
@@ -41,9 +41,9 @@
 
 
 def encode_change(record: ChangeRecord) -> bytes:
-    """Return the record as JSON, cut to names when it is too large."""
+    """Return the record as JSON, with object names only if too large."""
     encoded = encode(record)
-    if len(encoded) <= RECORD_LIMIT:
+    if len(encoded) <= MAX_RECORD_BYTES:
         return encoded
     omitted = tuple(str(edit.key) for edit in record.edits)
     return encode(
@@ -59,7 +59,7 @@
 
 
 def decode_change(value: bytes) -> ChangeRecord | None:
-    """Read a record, None when it is not one."""
+    """Decode a record; return None if it is invalid."""
     try:
         return decode(value, type=ChangeRecord)
     except (DecodeError, UnicodeDecodeError):
--- a/src/sedgeshunt/configuration/checks.py
+++ b/src/sedgeshunt/configuration/checks.py
@@ -1,4 +1,4 @@
-"""Check that a set of objects makes sense together."""
+"""Validate a set of objects and the references between them."""
 
 from collections.abc import Iterator
 
@@ -29,7 +29,7 @@
 from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
 
-_LEAST_BY_FIELD = {
+_MIN_BY_FIELD = {
     'slots': 1,
     'connection_limit': 1,
     'seats': 1,
@@ -42,7 +42,7 @@
 
 
 def check_objects(snapshot: Snapshot) -> list[Problem]:
-    """List everything wrong with the objects, errors first."""
+    """List all problems of the objects, errors first."""
     problems: list[Problem] = []
     for declared in snapshot.list_objects():
         problems.extend(_check_labels(declared))
@@ -50,13 +50,13 @@
         problems.extend(_check_numbers(declared))
     problems.extend(check_addresses(snapshot))
     problems.extend(check_groups(snapshot))
-    problems.extend(_check_reach(snapshot))
+    problems.extend(_check_matches(snapshot))
     problems.extend(_check_objectives(snapshot))
     return sorted(problems, key=lambda problem: problem.severity.value)
 
 
 def list_errors(snapshot: Snapshot) -> list[Problem]:
-    """List only what keeps the objects from being applied."""
+    """List only the problems that prevent the objects from being applied."""
     return [
         problem
         for problem in check_objects(snapshot)
@@ -79,10 +79,10 @@
             )
     state = declared.labels.get(STATE_LABEL, LEAVING)
     if state != LEAVING:
-        # A mistyped state would look like a drain and drain nothing.
+        # A mistyped state would look like a drain but have no effect.
         yield note_error(
             declared,
-            f'label "{STATE_LABEL}={state}" means nothing; write '
+            f'label "{STATE_LABEL}={state}" is not supported; write '
             + f'"{STATE_LABEL}={LEAVING}" or remove it',
         )
 
@@ -100,12 +100,12 @@
 
 
 def _check_numbers(declared: ConfigurationObject) -> Iterator[Problem]:
-    for name, least in _LEAST_BY_FIELD.items():
-        number = getattr(declared, name, least)
-        if number < least:
+    for name, minimum in _MIN_BY_FIELD.items():
+        number = getattr(declared, name, minimum)
+        if number < minimum:
             yield note_error(
                 declared,
-                f'{name} is {number}; set it to {least} or more',
+                f'{name} is {number}; set it to {minimum} or more',
             )
     if isinstance(declared, Objective) and not 0 < declared.answered_share < 1:
         yield note_error(
@@ -115,38 +115,39 @@
         )
 
 
-def _check_reach(snapshot: Snapshot) -> Iterator[Problem]:
-    reach = SelectorMatcher(snapshot)
+def _check_matches(snapshot: Snapshot) -> Iterator[Problem]:
+    matcher = SelectorMatcher(snapshot)
     for proxy in snapshot.proxies.values():
-        if snapshot.groups and not reach.list_proxy_groups(proxy):
+        if snapshot.groups and not matcher.list_proxy_groups(proxy):
             yield note_warning(
                 proxy,
                 'the selector matches no group; compare it with '
                 + '"sedgeshunt get group"',
             )
     for route in snapshot.routes.values():
-        if not reach.list_route_targets(route):
+        if not matcher.list_route_targets(route):
             yield note_warning(
                 route,
                 'the selectors match no target; compare them with '
                 + '"sedgeshunt get target"',
             )
-    yield from _check_overlaps(snapshot, reach)
+    yield from _check_overlaps(snapshot, matcher)
 
 
 def _check_overlaps(
-    snapshot: Snapshot, reach: SelectorMatcher
+    snapshot: Snapshot,
+    matcher: SelectorMatcher,
 ) -> Iterator[Problem]:
-    # With two routes for one class and group it depends on the reader which
-    # deadline and age hold; operators could not tell from the outside.
+    # With two routes for one class and group, the deadline and age that apply
+    # would depend on lookup order, which operators cannot see.
     first: dict[tuple[str, str], Route] = {}
     for route in snapshot.routes.values():
-        for group in reach.list_route_groups(route):
-            rival = first.setdefault((route.traffic_class, group), route)
-            if rival is not route:
+        for group in matcher.list_route_groups(route):
+            other = first.setdefault((route.traffic_class, group), route)
+            if other is not route:
                 yield note_error(
                     route,
-                    f'class {route.traffic_class} has route {rival.name} for '
+                    f'class {route.traffic_class} has route {other.name} for '
                     + f'group {group} already; make the selectors of groups '
                     + 'exclude each other',
                 )
@@ -157,11 +158,11 @@
     routed = {route.traffic_class for route in snapshot.routes.values()}
     first: dict[str, Objective] = {}
     for objective in snapshot.objectives.values():
-        rival = first.setdefault(objective.traffic_class, objective)
-        if rival is not objective:
+        other = first.setdefault(objective.traffic_class, objective)
+        if other is not objective:
             yield note_error(
                 objective,
-                f'class {objective.traffic_class} has objective {rival.name} '
+                f'class {objective.traffic_class} has objective {other.name} '
                 + 'already; keep one of the two',
             )
         if objective.traffic_class not in routed:
--- a/src/sedgeshunt/configuration/committer.py
+++ b/src/sedgeshunt/configuration/committer.py
@@ -1,4 +1,4 @@
-"""Commit a change and find out whether it took effect."""
+"""Commit a change and determine whether it took effect."""
 
 from asyncio import sleep, timeout
 from random import Random
@@ -9,40 +9,40 @@
 from sedgeshunt.identifiers import Revision, Seconds
 from sedgeshunt.ports import CommitResult, KeyValueService
 
-ATTEMPTS = 6
+MAX_ATTEMPTS = 6
 ANSWER_TIMEOUT = Seconds(5)
-FIRST_PAUSE = Seconds(0.2)
-LONGEST_PAUSE = Seconds(2)
+FIRST_RETRY_DELAY = Seconds(0.2)
+MAX_RETRY_DELAY = Seconds(2)
 
 
 class Committer:
-    """Commit transactions through lost answers."""
+    """Commit transactions despite lost answers."""
 
     def __init__(self, platform: KeyValueService, random: Random) -> None:
-        """Commit to `platform`; `random` spreads the attempts."""
+        """Commit to `platform`; `random` adds jitter to the retries."""
         self._platform = platform
         self._history = ChangeHistory(platform)
         self._random = random
 
     async def commit(self, transaction: Transaction) -> CommitResult:
-        """Commit once; raise PlatformUnavailable, or AnswerLost at the end."""
+        """Commit exactly once; raise PlatformUnavailable or AnswerLost."""
         # An answer can be lost after the change took effect, and the change
-        # can still be under way while it is looked for in vain. Sending the
-        # same transaction again is harmless: it demands that the head is
-        # where it was and moves it, so it takes effect once at most, and its
-        # refusal without a record proves that no copy of it ever will.
-        pause = FIRST_PAUSE
+        # can still be in flight when its record is not found. Retrying the
+        # transaction is idempotent: it requires an unchanged head and moves
+        # it, so it takes effect at most once, and a refusal without a record
+        # proves that no copy of it can take effect later.
+        delay = FIRST_RETRY_DELAY
         sent = False
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             outcome = await self._commit(transaction, sent=sent)
             if outcome is not None and (outcome.succeeded or not sent):
                 return outcome
             sent = True
-            settled = await self._look_up_outcome(transaction, outcome)
-            if settled is not None:
-                return settled
-            await sleep(pause * self._random.uniform(0.5, 1))
-            pause = min(LONGEST_PAUSE, Seconds(pause * 2))
+            confirmed = await self._look_up_outcome(transaction, outcome)
+            if confirmed is not None:
+                return confirmed
+            await sleep(delay * self._random.uniform(0.5, 1))
+            delay = min(MAX_RETRY_DELAY, Seconds(delay * 2))
         raise AnswerLost(transaction.change)
 
     async def _commit(
@@ -85,5 +85,5 @@
 
 
 def _is_older(lookup: ChangeLookup, revision: Revision) -> bool:
-    # A lagging member of the service may not show the record yet.
+    # A lagging member of the store may not show the record yet.
     return lookup.as_of < revision
--- a/src/sedgeshunt/configuration/conflicts.py
+++ b/src/sedgeshunt/configuration/conflicts.py
@@ -1,4 +1,4 @@
-"""Notice what rivals changed in the meantime."""
+"""Detect concurrent changes to the same objects."""
 
 from collections.abc import Sequence
 
@@ -12,7 +12,7 @@
 
 
 class ConflictCheck:
-    """Refuse to change what others changed first, and name them."""
+    """Reject changes to objects that others changed first."""
 
     def __init__(self, platform: KeyValueService) -> None:
         """Read the log of changes from `platform`."""
@@ -24,17 +24,16 @@
         intent: Intent,
         expected: Revision | None,
     ) -> None:
-        """Raise RevisionConflict for changes past `expected`."""
+        """Raise RevisionConflict for changes after `expected`."""
         if expected is None or stored.snapshot.revision <= expected:
             return
-        # A file that was read long ago would undo, without a word, what
-        # others changed since; also what they deleted, which only the log
-        # still tells.
+        # An outdated file would silently undo changes made since, including
+        # deletions, which only the change log still shows.
         keys = tuple(intent.plan(stored.snapshot))
-        rivals = await self._history.list_changes_to(keys, expected)
+        conflicting = await self._history.list_changes_to(keys, expected)
         newer = [key for key in keys if stored.read_revision(key) > expected]
-        if rivals or newer:
-            raise RevisionConflict(keys, rivals)
+        if conflicting or newer:
+            raise RevisionConflict(keys, conflicting)
 
     async def refuse_changed(
         self,
@@ -42,7 +41,7 @@
         stored: StoredConfiguration,
         intent: Intent,
     ) -> None:
-        """Raise RevisionConflict for changes between two readings."""
+        """Raise RevisionConflict for changes between two reads."""
         changed = [
             key
             for key in intent.keys
@@ -56,7 +55,7 @@
         keys: Sequence[ObjectKey],
         first: StoredConfiguration,
     ) -> RevisionConflict:
-        """Return the conflict with what rivals did since `first`."""
+        """Return the conflict with the changes since `first`."""
         revision = first.snapshot.revision
-        rivals = await self._history.list_changes_to(keys, revision)
-        return RevisionConflict(keys, rivals)
+        conflicting = await self._history.list_changes_to(keys, revision)
+        return RevisionConflict(keys, conflicting)
--- a/src/sedgeshunt/configuration/differences.py
+++ b/src/sedgeshunt/configuration/differences.py
@@ -1,4 +1,4 @@
-"""Describe what one change does to objects, field by field."""
+"""Compare objects field by field before and after a change."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class EditAction(Enum):
-    """Tell what happens to an object."""
+    """List the ways in which a change affects an object."""
 
     CREATED = 'created'
     CHANGED = 'changed'
@@ -25,7 +25,7 @@
 
 
 class FieldEdit(Struct, frozen=True):
-    """Hold one field before and after; None means it was not there."""
+    """Hold a field's value before and after; None means absent."""
 
     field: str
     before: FieldValue
@@ -33,11 +33,11 @@
 
     def describe(self) -> str:
         """Return the edit as `field: before -> after`."""
-        return f'{self.field}: {_show(self.before)} -> {_show(self.after)}'
+        return f'{self.field}: {_format(self.before)} -> {_format(self.after)}'
 
 
 class ObjectEdit(Struct, frozen=True):
-    """Hold what a change does to one object."""
+    """Hold the edits of one change to one object."""
 
     kind: ObjectKind
     name: str
@@ -57,7 +57,7 @@
 
 
 def compare_edits(before: Snapshot, edits: Edits) -> list[ObjectEdit]:
-    """Describe `edits` to `before`, leaving out what stays as it is."""
+    """Describe `edits` to `before`, without unchanged objects."""
     described = []
     for key, declared in edits.items():
         edit = compare_objects(key, find_object(before, key), declared)
@@ -71,7 +71,7 @@
     before: ConfigurationObject | None,
     after: ConfigurationObject | None,
 ) -> ObjectEdit | None:
-    """Describe how an object changes, None when it stays as it is."""
+    """Describe how an object changes; return None if it does not."""
     if before == after:
         return None
     old, new = _flatten(before), _flatten(after)
@@ -81,10 +81,10 @@
         for name in names
         if old.get(name) != new.get(name)
     )
-    return ObjectEdit(key.kind, key.name, _name_action(before, after), fields)
+    return ObjectEdit(key.kind, key.name, _choose_action(before, after), fields)
 
 
-def _name_action(
+def _choose_action(
     before: ConfigurationObject | None,
     after: ConfigurationObject | None,
 ) -> EditAction:
@@ -105,7 +105,7 @@
     return flat
 
 
-def _show(value: FieldValue) -> str:
+def _format(value: FieldValue) -> str:
     if value is None:
         return 'unset'
     return encode(value).decode()
--- a/src/sedgeshunt/configuration/documents.py
+++ b/src/sedgeshunt/configuration/documents.py
@@ -1,4 +1,4 @@
-"""Read operator files in TOML and write them."""
+"""Read and write operator files in TOML."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
@@ -45,7 +45,7 @@
 def read_documents(
     files: Sequence[OperatorFile],
 ) -> Result[Document, tuple[str, ...]]:
-    """Read all files; an error lists every problem found in them."""
+    """Read all files; the error value lists every problem found."""
     reader = _DocumentReader()
     for file in files:
         reader.read_file(file)
@@ -75,13 +75,13 @@
         self.objects: dict[ObjectKey, ConfigurationObject] = {}
         self.bases: list[Revision] = []
         self.problems: list[str] = []
-        self._places: dict[ObjectKey, str] = {}
+        self._locations: dict[ObjectKey, str] = {}
 
     def read_file(self, file: OperatorFile) -> None:
         try:
             document = loads(file.text)
         except TOMLDecodeError as failure:
-            self.problems.append(f'{file.source}: no TOML: {failure}')
+            self.problems.append(f'{file.source}: invalid TOML: {failure}')
             return
         for name, content in document.items():
             self._read_section(file, name, content)
@@ -106,9 +106,9 @@
                 f'{file.source}: write [[{name}]] with two brackets',
             )
             return
-        places = _list_places(file, name)
-        for table, place in zip(content, places, strict=False):
-            self._read_table(kind, table, place)
+        locations = _list_locations(file, name)
+        for table, location in zip(content, locations, strict=False):
+            self._read_table(kind, table, location)
 
     def _read_base(self, file: OperatorFile, content: object) -> None:
         if isinstance(content, int):
@@ -123,37 +123,37 @@
         self,
         kind: ObjectKind,
         table: object,
-        place: str,
+        location: str,
     ) -> None:
         if not isinstance(table, dict):
-            self.problems.append(f'{place}: write [[{kind.value}]] tables')
+            self.problems.append(f'{location}: write [[{kind.value}]] tables')
             return
         name = str(table.get('name', ''))
-        subject = f'{place}: {kind.value}/{name or "?"}'
+        subject = f'{location}: {kind.value}/{name or "?"}'
         problems = list_field_problems(kind, table)
         if problems:
             self.problems.extend(f'{subject}: {text}' for text in problems)
             return
         key = ObjectKey(kind, name)
-        if key in self._places:
+        if key in self._locations:
             self.problems.append(
-                f'{subject}: declared already at {self._places[key]}; '
+                f'{subject}: declared already at {self._locations[key]}; '
                 + 'keep one of the two',
             )
             return
-        self._places[key] = place
+        self._locations[key] = location
         self.objects[key] = convert(table, OBJECT_TYPES[kind])
 
 
-def _list_places(file: OperatorFile, name: str) -> Iterator[str]:
+def _list_locations(file: OperatorFile, name: str) -> Iterator[str]:
     lines = (
         file.text.count('\n', 0, found.start(1)) + 1
         for found in _HEADER.finditer(file.text)
         if found[1] == name
     )
-    places = (f'{file.source}:{line}' for line in lines)
-    # An array written in brackets of its own has no line for each table.
-    return chain(places, repeat(file.source))
+    locations = (f'{file.source}:{line}' for line in lines)
+    # An inline array of tables has no header line for each table.
+    return chain(locations, repeat(file.source))
 
 
 def _write_fields(declared: ConfigurationObject) -> list[str]:
@@ -178,7 +178,7 @@
             for key, inner in content.items()
         )
         return f'{{ {", ".join(pairs)} }}'
-    # A JSON string, number or truth value is one of TOML as well.
+    # JSON strings, numbers and booleans are valid TOML, except for U+007F.
     return encode(content).decode().replace('\x7f', r'\u007f')
 
 
--- a/src/sedgeshunt/configuration/edits.py
+++ b/src/sedgeshunt/configuration/edits.py
@@ -1,4 +1,4 @@
-"""Derive one revision of the configuration from the one before."""
+"""Derive a snapshot from the previous one and a set of edits."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -13,8 +13,8 @@
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.identifiers import GroupId, Revision, TargetId
 
-# More targets edited at once than this are indexed anew, in one go.
-FEW_EDITS = 64
+# With more edited targets than this the index is rebuilt as a whole.
+MAX_INCREMENTAL_EDITS = 64
 
 # None removes the object.
 Edits = Mapping[ObjectKey, ConfigurationObject | None]
@@ -32,7 +32,7 @@
     snapshot: Snapshot,
     key: ObjectKey,
 ) -> ConfigurationObject | None:
-    """Return the object under `key`, None when there is none."""
+    """Return the object under `key`, or None if there is none."""
     return list_kind(snapshot, key.kind).get(key.name)
 
 
@@ -53,7 +53,7 @@
     revision: Revision,
     edits: Edits,
 ) -> Snapshot:
-    """Return a new snapshot; `before` stays as it is for its readers."""
+    """Return a new snapshot; `before` is not modified."""
     changed: dict[str, Any] = {
         name: _change_kind(before, kind, edits)
         for kind, name in _SNAPSHOT_FIELDS.items()
@@ -61,11 +61,11 @@
     }
     after = replace(before, revision=revision, **changed)
     edited = {key.name for key in edits if key.kind is ObjectKind.TARGET}
-    # Filled in place of the property's own work, which sorts all targets
-    # anew; over thousands of changes a day callers would feel the pauses.
-    # A whole listing is sorted anew: edit by edit it would cost the square
-    # of its targets, half a second for some thousands.
-    if len(edited) <= FEW_EDITS:
+    # Presets the cached property, which would sort all targets again; with
+    # thousands of changes a day those pauses would delay callers. A whole
+    # listing is sorted again, since updating the index edit by edit takes
+    # quadratic time, half a second for a few thousand targets.
+    if len(edited) <= MAX_INCREMENTAL_EDITS:
         after.__dict__['members'] = _change_members(before, after, edited)
     return after
 
--- a/src/sedgeshunt/configuration/encoding.py
+++ b/src/sedgeshunt/configuration/encoding.py
@@ -1,4 +1,4 @@
-"""Turn objects and whole snapshots into JSON and back."""
+"""Encode objects and snapshots as JSON and decode them."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -30,14 +30,14 @@
     key: ObjectKey,
     value: bytes,
 ) -> Result[ConfigurationObject, str]:
-    """Read the object that stands under `key` from JSON."""
+    """Decode the object stored under `key`."""
     try:
         table = decode(value, type=dict[str, Any])
     except (DecodeError, UnicodeDecodeError) as failure:
-        return Err(f'no JSON object: {failure}')
+        return Err(f'not a JSON object: {failure}')
     built = _build_object(key.kind, table)
     if isinstance(built, Ok) and built.ok_value.name != key.name:
-        return Err(f'it is named {built.ok_value.name} inside')
+        return Err(f'its name field is {built.ok_value.name}, unlike its key')
     return built
 
 
@@ -54,13 +54,13 @@
 
 
 def decode_snapshot(document: bytes) -> Result[Snapshot, str]:
-    """Read a whole snapshot; one bad object refuses all of it."""
+    """Decode a snapshot; one invalid object rejects the whole document."""
     try:
         tables = decode(document, type=dict[str, Any])
         revision = Revision(convert(tables.get(_REVISION), int))
         objects = _build_objects(tables)
     except (DecodeError, UnicodeDecodeError) as failure:
-        return Err(f'no configuration document: {failure}')
+        return Err(f'not a configuration document: {failure}')
     return Ok(build_snapshot(revision, objects))
 
 
@@ -68,7 +68,7 @@
     revision: Revision,
     objects: Iterable[ConfigurationObject],
 ) -> Snapshot:
-    """Return a snapshot of exactly `objects`."""
+    """Return a snapshot that holds exactly `objects`."""
     edits: dict[ObjectKey, ConfigurationObject | None] = {
         ObjectKey.of(declared): declared for declared in objects
     }
@@ -91,9 +91,9 @@
     kind: ObjectKind,
     table: Mapping[str, Any],
 ) -> Result[ConfigurationObject, str]:
-    # During an upgrade a newer client writes fields that this version does
-    # not know. Refusing them would freeze the older proxies' configuration,
-    # so they are passed over; operator files stay strict about them.
+    # During an upgrade a newer client may write fields that this version does
+    # not know. Rejecting them would stop older proxies from applying changes,
+    # so they are ignored here; operator files reject unknown fields.
     known = _FIELD_NAMES[kind]
     kept = {name: value for name, value in table.items() if name in known}
     try:
--- a/src/sedgeshunt/configuration/errors.py
+++ b/src/sedgeshunt/configuration/errors.py
@@ -1,4 +1,4 @@
-"""Define the errors that operators meet when they change objects."""
+"""Define the errors of configuration changes."""
 
 from collections.abc import Sequence
 
@@ -8,26 +8,26 @@
 
 
 class RevisionConflict(SedgeshuntError):
-    """Say that rivals changed the same objects first; nothing was changed."""
+    """Report a concurrent change to the same objects; nothing was written."""
 
     exit_code = ExitCode.CONFLICT
 
     def __init__(
         self,
         keys: Sequence[ObjectKey],
-        rivals: Sequence[RecordedChange],
+        conflicting: Sequence[RecordedChange],
     ) -> None:
-        """Keep the objects in question and the rivals' changes to them."""
-        super().__init__(keys, rivals)
+        """Store the objects and the concurrent changes to them."""
+        super().__init__(keys, conflicting)
         self.keys = tuple(keys)
-        self.conflicting = tuple(rivals)
+        self.conflicting = tuple(conflicting)
 
     def format_message(self) -> str:
-        """Name who changed what and how to go on."""
+        """Return the conflicting changes, their authors and the remedy."""
         names = ', '.join(str(key) for key in self.keys)
         lines = [f'{names} changed since it was read; nothing was changed']
-        for rival in self.conflicting:
-            record = rival.record
+        for conflict in self.conflicting:
+            record = conflict.record
             lines.append(
                 f'  - {record.author} at {record.at}, '
                 + f'change {record.change}: {record.message}',
@@ -45,34 +45,34 @@
 
 
 class ObjectsInvalid(SedgeshuntError):
-    """Name everything wrong with a set of objects; nothing was changed."""
+    """Report all problems of a set of objects; nothing was written."""
 
     exit_code = ExitCode.SETTINGS
 
     def __init__(self, problems: Sequence[str]) -> None:
-        """Keep the problems, each with its remedy."""
+        """Store the problems, each with its remedy."""
         super().__init__(problems)
         self.problems = tuple(problems)
 
     def format_message(self) -> str:
-        """List the problems, one a line."""
+        """Return the problems, one per line."""
         lines = '\n'.join(f'  - {problem}' for problem in self.problems)
         return f'the objects cannot be used, nothing was changed:\n{lines}'
 
 
 class ChangeTooLarge(SedgeshuntError):
-    """Say that a change edits more objects than one commit may hold."""
+    """Report that a change edits more objects than one commit allows."""
 
     exit_code = ExitCode.USAGE
 
     def __init__(self, edits: int, limit: int) -> None:
-        """Keep the number of objects edited and the limit."""
+        """Store the number of edited objects and the limit."""
         super().__init__(edits, limit)
         self.edits = edits
         self.limit = limit
 
     def format_message(self) -> str:
-        """Tell how to split the change."""
+        """Return the limit and how to split the change."""
         return (
             f'the change edits {self.edits} objects and one commit holds '
             + f'{self.limit}; apply the groups first, then the targets in '
@@ -81,17 +81,17 @@
 
 
 class ObjectNotFound(SedgeshuntError):
-    """Say that no object has the name."""
+    """Report that an object does not exist."""
 
     exit_code = ExitCode.NOT_FOUND
 
     def __init__(self, key: ObjectKey) -> None:
-        """Keep the key that was asked for."""
+        """Store the requested key."""
         super().__init__(key)
         self.key = key
 
     def format_message(self) -> str:
-        """Tell how to list the names that exist."""
+        """Return the missing key and how to list the existing names."""
         return (
             f'there is no {self.key}; '
             + f'run "sedgeshunt get {self.key.kind.value}" for the names'
@@ -99,17 +99,17 @@
 
 
 class ChangeNotFound(SedgeshuntError):
-    """Say that no change with the id took effect and is still kept."""
+    """Report that no retained change has the id."""
 
     exit_code = ExitCode.NOT_FOUND
 
     def __init__(self, change: str) -> None:
-        """Keep the id that was asked for."""
+        """Store the requested id."""
         super().__init__(change)
         self.change = change
 
     def format_message(self) -> str:
-        """Tell what the absence means."""
+        """Return what a missing change means and the remedy."""
         return (
             f'change {self.change} is not among the changes that are kept; '
             + 'if it was made just now it did not take effect, apply it again'
--- a/src/sedgeshunt/configuration/feed.py
+++ b/src/sedgeshunt/configuration/feed.py
@@ -1,4 +1,4 @@
-"""Bring the newest configuration to one proxy."""
+"""Keep one proxy's configuration up to date."""
 
 from abc import ABC, abstractmethod
 from asyncio import TaskGroup, sleep, timeout
@@ -21,28 +21,28 @@
     WatchCompacted,
 )
 
-# A watch can hang without an error, so peers are asked even while it is up.
-CHECK_PEERS_EVERY = Seconds(2)
-ASK_PEERS_EVERY = Seconds(0.5)
+# A watch can hang without an error, so peers are polled during a watch too.
+PEER_INTERVAL_DURING_WATCH = Seconds(2)
+PEER_INTERVAL_WITHOUT_WATCH = Seconds(0.5)
 LIST_TIMEOUT = Seconds(5)
-FIRST_PAUSE = Seconds(0.2)
-LONGEST_PAUSE = Seconds(5)
-SHORTEST_CEILING = Seconds(1)
-TRIES_A_SECOND = 200
-DOUBLINGS = 6
-NOTHING = Revision(0)
+FIRST_RETRY_DELAY = Seconds(0.2)
+MAX_RETRY_DELAY = Seconds(5)
+MIN_DELAY_LIMIT = Seconds(1)
+FLEET_RETRIES_PER_SECOND = 200
+MAX_DOUBLINGS = 6
+NO_REVISION = Revision(0)
 
 
 class PeerSource(ABC):
-    """Ask other proxies for a newer configuration."""
+    """Fetch newer configurations from other proxies."""
 
     @abstractmethod
     async def copy_newer(self, known: Revision) -> ConfigurationCopy | None:
-        """Ask one peer within a short time; None if it has none, or is gone."""
+        """Ask one peer briefly; return None if not newer or unreachable."""
 
 
 class ConfigurationFeed:
-    """Follow the platform's watch, and peers where it does not reach."""
+    """Follow the platform's watch and poll peers in case it fails."""
 
     def __init__(
         self,
@@ -52,31 +52,31 @@
         decisions: DecisionLog,
         random: Random | None = None,
     ) -> None:
-        """Call `on_change` with each snapshot that comes into force."""
+        """Call `on_change` with each snapshot that becomes active."""
         self._platform = platform
         self._peers = peers
         self._active = ActiveConfiguration(on_change, decisions)
         self._random = random or Random()
         self._watch_is_up = False
         self._failures = 0
-        # A watch cannot start at or below this revision: nothing was read
-        # yet, or the changes past it are no longer kept. None: it can.
-        self._resync_after: Revision | None = NOTHING
+        # A watch cannot start at or below this revision, as nothing was read
+        # yet or later changes were compacted. None: no resync is needed.
+        self._resync_after: Revision | None = NO_REVISION
 
     @property
     def snapshot(self) -> Snapshot:
-        """Return the configuration in force."""
+        """Return the active configuration."""
         return self._active.snapshot
 
     async def wait_revision(self, revision: Revision) -> Snapshot:
-        """Wait until `revision` or a newer one is in force."""
+        """Wait until `revision` or a newer one is active."""
         return await self._active.wait_revision(revision)
 
     def encode_copy(
         self,
-        known: Revision = NOTHING,
+        known: Revision = NO_REVISION,
     ) -> ConfigurationCopy | None:
-        """Return the configuration for a peer, None if `known` is as new."""
+        """Return the encoded configuration, or None if `known` is as new."""
         return self._active.encode_copy(known)
 
     async def run(self) -> None:
@@ -86,20 +86,20 @@
             tasks.create_task(self._follow_peers())
 
     async def _follow_platform(self) -> None:
-        # Thousands of proxies that come back after an outage would spend the
-        # service's reads on listings; a peer's copy saves each one its own,
-        # and the watch then brings only what changed past the copy.
+        # Listings by thousands of proxies that restart after an outage would
+        # exhaust the store's read capacity. With a peer's copy a proxy needs
+        # no listing; the watch then sends only the changes after the copy.
         await self._ask_peer()
         while True:
             try:
-                await self._follow_until_down()
+                await self._follow_until_failure()
             except (WatchCompacted, EventsOutOfOrder):
                 self._resync_after = self._active.known
                 await self._ask_peer()
             self._watch_is_up = False
-            await self._pause()
+            await self._wait_before_retry()
 
-    async def _follow_until_down(self) -> None:
+    async def _follow_until_failure(self) -> None:
         with suppress(PlatformUnavailable, TimeoutError):
             await self._follow_watch()
 
@@ -119,8 +119,8 @@
                 self._watch_is_up = True
                 self._failures = 0
 
-    async def _resync(self, gap: Revision) -> bool:
-        if self._active.known > gap:
+    async def _resync(self, revision: Revision) -> bool:
+        if self._active.known > revision:
             return True
         async with timeout(LIST_TIMEOUT):
             listing = await self._platform.list_prefix(OBJECTS_PREFIX)
@@ -128,24 +128,34 @@
 
     async def _follow_peers(self) -> None:
         while True:
-            every = CHECK_PEERS_EVERY if self._watch_is_up else ASK_PEERS_EVERY
-            await sleep(every * self._random.uniform(0.75, 1.25))
+            interval = (
+                PEER_INTERVAL_DURING_WATCH
+                if self._watch_is_up
+                else PEER_INTERVAL_WITHOUT_WATCH
+            )
+            await sleep(interval * self._random.uniform(0.75, 1.25))
             await self._ask_peer()
 
     async def _ask_peer(self) -> None:
         copy = await self._peers.copy_newer(self._active.snapshot.revision)
         if copy is not None and self._active.apply_copy(copy):
-            # A peer knew more than the watch brought, so the watch may hang.
-            # Until it brings something, peers are the faster source.
+            # A peer was ahead of the watch, so the watch may hang. Peers are
+            # polled faster until the watch sends an event.
             self._watch_is_up = False
 
-    async def _pause(self) -> None:
-        longest = min(self._find_longest(), FIRST_PAUSE * 2**self._failures)
-        self._failures = min(DOUBLINGS, self._failures + 1)
-        await sleep(longest * self._random.uniform(0.5, 1))
-
-    def _find_longest(self) -> float:
-        # The fewer proxies there are, the sooner each may try again without
-        # the service's rates being used up by tries.
+    async def _wait_before_retry(self) -> None:
+        limit = min(
+            self._compute_delay_limit(),
+            FIRST_RETRY_DELAY * 2**self._failures,
+        )
+        self._failures = min(MAX_DOUBLINGS, self._failures + 1)
+        await sleep(limit * self._random.uniform(0.5, 1))
+
+    def _compute_delay_limit(self) -> float:
+        # Limits the retry rate of all proxies together, so that retries do
+        # not use up the store's request rate; small fleets retry sooner.
         fleet = len(self._active.snapshot.proxies)
-        return min(LONGEST_PAUSE, max(SHORTEST_CEILING, fleet / TRIES_A_SECOND))
+        return min(
+            MAX_RETRY_DELAY,
+            max(MIN_DELAY_LIMIT, fleet / FLEET_RETRIES_PER_SECOND),
+        )
--- a/src/sedgeshunt/configuration/fields.py
+++ b/src/sedgeshunt/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Check the fields of one object as operators wrote them."""
+"""Validate the fields of one object in an operator file."""
 
 from collections.abc import Mapping
 
@@ -13,7 +13,7 @@
     kind: ObjectKind,
     table: Mapping[str, object],
 ) -> list[str]:
-    """Name every field of a table that cannot be used, with its remedy."""
+    """List every invalid field of a table, with its remedy."""
     known = {info.name: info for info in fields(OBJECT_TYPES[kind])}
     problems = [
         f'field "{name}" is unknown; use one of {", ".join(known)}'
--- a/src/sedgeshunt/configuration/history.py
+++ b/src/sedgeshunt/configuration/history.py
@@ -1,4 +1,4 @@
-"""Read the changes that operators made."""
+"""Read the log of configuration changes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLookup:
-    """Hold the answer about one change as of one revision."""
+    """Hold the result of a lookup as of one revision of the store."""
 
     as_of: Revision
     found: RecordedChange | None
@@ -29,7 +29,7 @@
         self._platform = platform
 
     async def list_changes(self) -> list[RecordedChange]:
-        """List all changes that are kept; raise PlatformUnavailable."""
+        """List all retained changes; raise PlatformUnavailable."""
         return _read_changes(await self._platform.list_prefix(CHANGES_PREFIX))
 
     async def find_change(self, change: ChangeId) -> ChangeLookup:
@@ -45,7 +45,7 @@
         keys: Sequence[ObjectKey],
         after: Revision,
     ) -> list[RecordedChange]:
-        """List the changes past `after` that edit one of `keys`."""
+        """List the changes after `after` that edit one of `keys`."""
         return [
             recorded
             for recorded in await self.list_changes()
--- a/src/sedgeshunt/configuration/intents.py
+++ b/src/sedgeshunt/configuration/intents.py
@@ -1,4 +1,4 @@
-"""Hold what operators want to be declared."""
+"""Define requested changes, independent of the stored state."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping, Sequence
@@ -14,16 +14,16 @@
 
 
 class Intent(ABC):
-    """Hold what an operator wants, whatever the store holds meanwhile."""
+    """Describe a requested change, planned again on each stored state."""
 
     @property
     @abstractmethod
     def keys(self) -> Sequence[ObjectKey]:
-        """Return the keys of all objects that it speaks of."""
+        """Return the keys of all objects that it concerns."""
 
     @abstractmethod
     def plan(self, snapshot: Snapshot) -> Edits:
-        """Return the edits that bring it about; raise ObjectNotFound."""
+        """Return the edits that it needs; raise ObjectNotFound."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sedgeshunt/configuration/keys.py
+++ b/src/sedgeshunt/configuration/keys.py
@@ -1,4 +1,4 @@
-"""Name the keys under which the platform keeps the configuration."""
+"""Define the store keys of the configuration."""
 
 from re import compile as compile_pattern
 from typing import NamedTuple, Self
@@ -16,9 +16,9 @@
 OBJECTS_PREFIX = '/sedgeshunt/objects/'
 CHANGES_PREFIX = '/sedgeshunt/changes/'
 # Holds the newest change's id. Every change compares and writes it, so its
-# revision is the configuration's own, also after an object was deleted.
+# revision is that of the configuration, even after an object was deleted.
 HEAD_KEY = f'{OBJECTS_PREFIX}head'
-# Holds the ids of the changes that are kept, oldest first.
+# Holds the ids of the retained changes, oldest first.
 KEPT_CHANGES_KEY = '/sedgeshunt/kept-changes'
 
 OBJECT_TYPES: dict[ObjectKind, type[ConfigurationObject]] = {
@@ -33,7 +33,7 @@
 
 
 class ObjectKey(NamedTuple):
-    """Name one object among all."""
+    """Identify one object."""
 
     kind: ObjectKind
     name: str
@@ -54,7 +54,7 @@
 
 
 def read_path(path: str) -> ObjectKey | None:
-    """Return the object's key, None when `path` names no object."""
+    """Return the object's key, or None if `path` is not an object's."""
     kind, _, name = path.removeprefix(OBJECTS_PREFIX).partition('/')
     if not name:
         return None
@@ -70,5 +70,5 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether `text` can name an object or a traffic class."""
+    """Return whether `text` can name an object or a traffic class."""
     return _NAME.fullmatch(text) is not None
--- a/src/sedgeshunt/configuration/labels.py
+++ b/src/sedgeshunt/configuration/labels.py
@@ -9,7 +9,7 @@
 
 from sedgeshunt.configuration.objects import ConfigurationObject
 
-# Taken from the object's own fields; selectors use them like any label.
+# Derived from the object's fields; selectors can match them as labels.
 COMPUTED_LABELS = ('name', 'zone', 'group')
 
 _KEY = '[A-Za-z0-9][A-Za-z0-9._/-]{0,62}'
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """Demand one thing of one label; values of None demand its presence."""
+    """Constrain one label; values of None require only its presence."""
 
     key: str
     values: frozenset[str] | None
     negated: bool = False
 
     def is_met(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether `labels` meet the demand; a missing label differs."""
+        """Return whether `labels` match; a missing label equals no value."""
         if self.values is None:
             return (self.key in labels) != self.negated
         return (labels.get(self.key) in self.values) != self.negated
@@ -41,13 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Demand several things of labels; an empty selector takes all."""
+    """Combine requirements; an empty selector matches everything."""
 
     requirements: tuple[Requirement, ...] = ()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether `labels` meet every requirement."""
-        return all(need.is_met(labels) for need in self.requirements)
+        """Return whether `labels` meet every requirement."""
+        return all(
+            requirement.is_met(labels) for requirement in self.requirements
+        )
 
 
 def list_labels(declared: ConfigurationObject) -> dict[str, str]:
@@ -61,12 +63,12 @@
 
 
 def is_label_key(text: str) -> bool:
-    """Tell whether `text` can be a label's key."""
+    """Return whether `text` can be a label's key."""
     return _KEY_PATTERN.fullmatch(text) is not None
 
 
 def is_label_value(text: str) -> bool:
-    """Tell whether `text` can be a label's value."""
+    """Return whether `text` can be a label's value."""
     return _VALUE_PATTERN.fullmatch(text) is not None
 
 
@@ -80,7 +82,7 @@
         requirement = _read_requirement(part.strip())
         if requirement is None:
             return Err(
-                f'"{part.strip()}" is no requirement; write key=value, '
+                f'"{part.strip()}" is not a requirement; write key=value, '
                 + 'key!=value, key in (a,b), key notin (a,b), key or !key',
             )
         requirements.append(requirement)
--- a/src/sedgeshunt/configuration/objects.py
+++ b/src/sedgeshunt/configuration/objects.py
@@ -1,4 +1,4 @@
-"""Declare the labelled objects by which operators steer."""
+"""Define the labelled objects that operators declare."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 from sedgeshunt.identifiers import GroupId, TargetId, TrafficClass, ZoneId
 
-# A target with this label gets no new work and may be removed later.
+# A target with this label and value gets no new work and can be removed.
 STATE_LABEL = 'state'
 LEAVING = 'leaving'
 
@@ -22,7 +22,7 @@
 
 
 class Consistency(Enum):
-    """Say what a route's reads must see."""
+    """Define which writes a route's reads must see."""
 
     # Every acknowledged write.
     CURRENT = 'current'
@@ -39,13 +39,13 @@
     labels: dict[str, str] = field(default_factory=dict)
     # Statements that one target runs at the same time.
     slots: int = 3
-    # Connections that one target accepts, from all proxies together.
+    # Connections that one target accepts from all proxies in total.
     connection_limit: int = 20
-    # Entry instances among which the connections are shared out.
+    # Number of proxies among which the connections are divided.
     seats: int = 6
     # Replicas that have received a write before its target acknowledges it.
     synchronous_replicas: int = 0
-    # A transaction without a statement for so long may be ended; 0: never.
+    # Idle time after which a transaction may be ended; 0: never.
     transaction_idle_ms: int = 0
 
 
@@ -60,17 +60,17 @@
     labels: dict[str, str] = field(default_factory=dict)
 
     def is_leaving(self) -> bool:
-        """Tell whether operators want no new work on this target."""
+        """Return whether the target is draining and gets no new work."""
         return self.labels.get(STATE_LABEL) == LEAVING
 
 
 class Proxy(Struct, frozen=True, forbid_unknown_fields=True):
-    """Declare an entry instance and the groups it serves."""
+    """Declare a proxy and the groups it serves."""
 
     name: str
     zone: ZoneId
     host: str
-    # Port towards other proxies and the command line.
+    # Port for other proxies and the command line.
     peer_port: int
     labels: dict[str, str] = field(default_factory=dict)
     # Selects groups by label; empty selects all.
@@ -78,7 +78,7 @@
 
 
 class Route(Struct, frozen=True, forbid_unknown_fields=True):
-    """Say which targets a traffic class may reach and how stale it may read."""
+    """Declare a traffic class's targets, staleness and limits."""
 
     name: str
     traffic_class: TrafficClass
@@ -86,20 +86,20 @@
     groups: str = ''
     # Selector of targets by label; empty selects all.
     targets: str = ''
-    # Oldest data accepted when the caller names no age; 0 means none.
+    # Accepted age of data if the caller gives none; 0: no default age.
     accepted_age_ms: int = 0
-    # Time to answer when the caller names no deadline.
+    # Deadline if the caller gives none.
     deadline_ms: int = 2000
-    # Share of a target under load, against the other classes.
+    # Share of a loaded target relative to other classes.
     weight: int = 1
     # Reads may go to the primary when no replica can serve.
     primary_reads: bool = True
     consistency: Consistency = Consistency.OWN_WRITES
-    # Time within which an operation is to be answered; 0: the deadline.
+    # Target response time of an operation; 0: the deadline.
     objective_ms: int = 0
-    # Routes with a lower number go first where targets are short.
+    # Under overload, routes with a lower number take precedence.
     priority: int = 1
-    # Callers need no customer's key.
+    # Callers may omit a customer key.
     allows_anonymous: bool = False
     labels: dict[str, str] = field(default_factory=dict)
 
@@ -112,7 +112,7 @@
     # Share of requests to be answered within `within_ms`.
     answered_share: float = 0.999
     within_ms: int = 500
-    # Longest time in which a group takes no writes, in milliseconds.
+    # Longest time during which a group may accept no writes.
     failover_gap_ms: int = 2000
     labels: dict[str, str] = field(default_factory=dict)
 
--- a/src/sedgeshunt/configuration/placement_checks.py
+++ b/src/sedgeshunt/configuration/placement_checks.py
@@ -1,4 +1,4 @@
-"""Check where groups, targets and proxies stand."""
+"""Validate the addresses and limits of groups, targets and proxies."""
 
 from collections.abc import Iterator
 from ipaddress import ip_address
@@ -14,32 +14,32 @@
 from sedgeshunt.connections.shares import UNSEATED_PROXY_CONNECTIONS
 from sedgeshunt.ports import Address
 
-LAST_PORT = 65535
-# A majority survives the loss of one target only among three or more.
-FEWEST_TARGETS = 3
-# A seat needs one connection for control and one for work.
+MAX_PORT = 65535
+# With fewer than three targets, losing one loses the majority.
+MIN_TARGETS = 3
+# Each seat needs one control connection and one for statements.
 CONNECTIONS_PER_SEAT = 2
 
 
 def check_addresses(snapshot: Snapshot) -> Iterator[Problem]:
-    """Find addresses that cannot be used or are used twice."""
+    """Report invalid and duplicate addresses."""
     first: dict[Address, Target | Proxy] = {}
     instances: list[Target | Proxy] = list(snapshot.targets.values())
     instances.extend(snapshot.proxies.values())
     for declared in instances:
         address = read_address(declared)
         yield from _check_address(declared, address)
-        rival = first.setdefault(address, declared)
-        if rival is not declared:
+        other = first.setdefault(address, declared)
+        if other is not declared:
             yield note_error(
                 declared,
-                f'{address.host}:{address.port} belongs to {rival.name} '
+                f'{address.host}:{address.port} belongs to {other.name} '
                 + 'already; correct one of the two',
             )
 
 
 def check_groups(snapshot: Snapshot) -> Iterator[Problem]:
-    """Find groups without enough targets, and limits that cannot be kept."""
+    """Report missing groups, too few targets and inconsistent limits."""
     for target in snapshot.targets.values():
         if target.group not in snapshot.groups:
             yield note_error(
@@ -47,15 +47,15 @@
                 f'group "{target.group}" is not declared; add a [[group]] '
                 + 'of that name or correct the field',
             )
-    reach = SelectorMatcher(snapshot)
+    matcher = SelectorMatcher(snapshot)
     for group in snapshot.groups.values():
         yield from _check_limits(group)
         yield from _check_members(snapshot, group)
-        yield from _check_seats(reach, group)
+        yield from _check_seats(matcher, group)
 
 
 def read_address(declared: Target | Proxy) -> Address:
-    """Return where an instance listens; a proxy, for its peers."""
+    """Return the listening address; for a proxy, its peer address."""
     if isinstance(declared, Proxy):
         return Address(declared.host, declared.peer_port)
     return Address(declared.host, declared.port)
@@ -65,18 +65,18 @@
     declared: Target | Proxy,
     address: Address,
 ) -> Iterator[Problem]:
-    if not 0 < address.port <= LAST_PORT:
+    if not 0 < address.port <= MAX_PORT:
         yield note_error(
             declared,
-            f'port {address.port} does not exist; use 1 to {LAST_PORT}',
+            f'port {address.port} is out of range; use 1 to {MAX_PORT}',
         )
     try:
         ip_address(address.host)
     except ValueError:
         yield note_error(
             declared,
-            f'host "{address.host}" is no IP number; instances are reached '
-            + 'without a name service, write the number',
+            f'host "{address.host}" is not an IP address; host names are '
+            + 'not resolved, write the address',
         )
 
 
@@ -99,11 +99,11 @@
 
 def _check_members(snapshot: Snapshot, group: Group) -> Iterator[Problem]:
     members = snapshot.list_targets(group.name)
-    if len(members) < FEWEST_TARGETS:
+    if len(members) < MIN_TARGETS:
         yield note_warning(
             group,
             f'{len(members)} targets cannot lose one and keep a majority; '
-            + f'add targets up to {FEWEST_TARGETS}',
+            + f'add targets up to {MIN_TARGETS}',
         )
     leaving = [target for target in members if target.is_leaving()]
     if members and len(leaving) == len(members):
@@ -114,8 +114,8 @@
         )
 
 
-def _check_seats(reach: SelectorMatcher, group: Group) -> Iterator[Problem]:
-    serving = len(reach.list_group_proxies(group.name))
+def _check_seats(matcher: SelectorMatcher, group: Group) -> Iterator[Problem]:
+    serving = len(matcher.list_group_proxies(group.name))
     if serving > group.seats:
         yield note_warning(
             group,
--- a/src/sedgeshunt/configuration/problems.py
+++ b/src/sedgeshunt/configuration/problems.py
@@ -1,4 +1,4 @@
-"""Describe what is wrong with an object and how to mend it."""
+"""Define problems of objects and their severity."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Severity(Enum):
-    """Tell whether a problem keeps objects from being applied."""
+    """List whether a problem prevents objects from being applied."""
 
     ERROR = 'error'
     WARNING = 'warning'
@@ -28,10 +28,10 @@
 
 
 def note_error(declared: ConfigurationObject, message: str) -> Problem:
-    """Return a problem that keeps `declared` from being applied."""
+    """Return a problem that prevents `declared` from being applied."""
     return Problem(Severity.ERROR, ObjectKey.of(declared), message)
 
 
 def note_warning(declared: ConfigurationObject, message: str) -> Problem:
-    """Return a problem of `declared` that operators should know of."""
+    """Return a problem that does not prevent `declared` being applied."""
     return Problem(Severity.WARNING, ObjectKey.of(declared), message)
--- a/src/sedgeshunt/configuration/registry.py
+++ b/src/sedgeshunt/configuration/registry.py
@@ -1,4 +1,4 @@
-"""Change objects in the platform's store, one commit for each change."""
+"""Change objects in the platform's store, one commit per change."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -31,13 +31,13 @@
 from sedgeshunt.identifiers import ChangeId, Revision
 from sedgeshunt.ports import KeyValueService
 
-# Rivals that change other objects cost another round each.
-ROUNDS = 8
+# Each concurrent change to other objects costs one more attempt.
+MAX_ATTEMPTS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedChange:
-    """Hold what a change did; without edits nothing was committed."""
+    """Hold the result of a change; without edits nothing was committed."""
 
     revision: Revision
     change: ChangeId | None = None
@@ -53,9 +53,9 @@
         author: str,
         random: Random | None = None,
     ) -> None:
-        """Write to `platform`, recording `author` with each change."""
-        # The change that was sent and whose fate is not known yet, for the
-        # message to an operator who interrupts.
+        """Write to `platform` and record `author` with each change."""
+        # The change that was sent but is not confirmed yet; named in the
+        # message if the command is interrupted.
         self.unconfirmed: ChangeId | None = None
         self._platform = platform
         self._author = author
@@ -113,7 +113,7 @@
         message: str,
         expected: Revision | None = None,
     ) -> AppliedChange:
-        """Bring an intent about in one commit.
+        """Apply an intent in one commit.
 
         Raise RevisionConflict, ObjectsInvalid, ObjectNotFound,
         ChangeTooLarge, PlatformUnavailable or AnswerLost.
@@ -121,7 +121,7 @@
         first = await self.read()
         await self._conflicts.refuse_newer(first, intent, expected)
         stored = first
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ATTEMPTS):
             applied = await self._attempt(stored, intent, message)
             if applied is not None:
                 return applied
@@ -147,14 +147,14 @@
         described = tuple(compare_edits(stored.snapshot, edits))
         if not described:
             return AppliedChange(stored.snapshot.revision)
-        _refuse_errors(stored.snapshot, edits)
-        record = self._write_record(message, described)
+        _reject_new_errors(stored.snapshot, edits)
+        record = self._build_record(message, described)
         revision = await self._commit(stored, edits, record)
         if revision is None:
             return None
         return AppliedChange(revision, record.change, described)
 
-    def _write_record(
+    def _build_record(
         self,
         message: str,
         edits: tuple[ObjectEdit, ...],
@@ -181,10 +181,12 @@
         return outcome.revision if outcome.succeeded else None
 
 
-def _refuse_errors(before: Snapshot, edits: Edits) -> None:
-    # Errors that were there before must not stand in the way of a change in
-    # an emergency; only those that it brings refuse it.
+def _reject_new_errors(before: Snapshot, edits: Edits) -> None:
+    # Errors that already exist must not block an emergency change; only the
+    # errors that the change introduces reject it.
     after = change_snapshot(before, before.revision, edits)
-    brought = set(list_errors(after)) - set(list_errors(before))
-    if brought:
-        raise ObjectsInvalid(sorted(problem.describe() for problem in brought))
+    introduced = set(list_errors(after)) - set(list_errors(before))
+    if introduced:
+        raise ObjectsInvalid(
+            sorted(problem.describe() for problem in introduced)
+        )
--- a/src/sedgeshunt/configuration/selector_matcher.py
+++ b/src/sedgeshunt/configuration/selector_matcher.py
@@ -1,4 +1,4 @@
-"""Find what the selectors of routes and proxies reach."""
+"""Match the selectors of routes and proxies to objects."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -14,7 +14,7 @@
 
 
 class SelectorMatcher:
-    """Answer which groups and targets one snapshot's selectors match."""
+    """Match selectors to the groups and targets of declared snapshot."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         """Read from `snapshot`."""
@@ -60,9 +60,13 @@
     labelled: Iterable[_Labelled],
     selector: str,
 ) -> list[_Labelled]:
-    # A selector that cannot be read selects nothing: reaching too little is
-    # seen at once, reaching too much is seen when data was read.
+    # An invalid selector matches nothing: a missing target is noticed at once,
+    # an unintended declared only after its data was read.
     read = read_selector(selector)
     if isinstance(read, Err):
         return []
-    return [one for one in labelled if read.ok_value.matches(list_labels(one))]
+    return [
+        declared
+        for declared in labelled
+        if read.ok_value.matches(list_labels(declared))
+    ]
--- a/src/sedgeshunt/configuration/snapshot.py
+++ b/src/sedgeshunt/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""Hold one revision of everything that operators declared."""
+"""Define the snapshot of all objects at one revision."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """Hold one revision of the configuration, indexed for the hot path."""
+    """Hold one revision of the configuration, indexed for fast lookup."""
 
     revision: Revision = Revision(0)
     groups: dict[GroupId, Group] = field(default_factory=dict)
@@ -28,7 +28,7 @@
 
     @cached_property
     def members(self) -> dict[GroupId, tuple[Target, ...]]:
-        """Index the targets by their group, in the order of their names."""
+        """Return the targets of each group, sorted by name."""
         members: dict[GroupId, list[Target]] = {}
         for name in sorted(self.targets):
             target = self.targets[name]
@@ -36,11 +36,11 @@
         return {group: tuple(listed) for group, listed in members.items()}
 
     def list_targets(self, group: GroupId) -> list[Target]:
-        """List the targets of one group in the order of their names."""
+        """List the targets of one group, sorted by name."""
         return list(self.members.get(group, ()))
 
     def list_objects(self) -> Iterator[ConfigurationObject]:
-        """Yield every object, kind by kind."""
+        """Yield every object, ordered by kind."""
         yield from self.groups.values()
         yield from self.targets.values()
         yield from self.proxies.values()
--- a/src/sedgeshunt/configuration/store.py
+++ b/src/sedgeshunt/configuration/store.py
@@ -1,4 +1,4 @@
-"""Read what the platform holds and prepare changes to it."""
+"""Read the stored configuration and prepare changes to it."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -36,11 +36,11 @@
 )
 
 ABSENT = Revision(0)
-CHANGES_KEPT = 500
-# Operations that the service's published form takes in one transaction, less
-# those that each change needs for its own record.
-EDITS_PER_CHANGE = 120
-_TRIMMED_AT_ONCE = 4
+MAX_KEPT_CHANGES = 500
+# The store's documented limit of operations in one transaction, less those
+# that each change needs for its own record.
+MAX_EDITS_PER_CHANGE = 120
+_MAX_TRIMMED_PER_CHANGE = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,17 +49,17 @@
 
     snapshot: Snapshot
     revisions: Mapping[str, Revision]
-    # Objects that cannot be read, each with the reason.
+    # Objects that cannot be decoded, each with the reason.
     unreadable: Mapping[ObjectKey, str] = field(default_factory=dict)
 
     def read_revision(self, key: ObjectKey) -> Revision:
-        """Return the revision that last changed an object, 0 if absent."""
+        """Return the revision of an object's last change, 0 if absent."""
         return self.revisions.get(key.path, ABSENT)
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Hold one change, ready to be committed any number of times."""
+    """Hold one change as a transaction that can be retried."""
 
     change: ChangeId
     compares: tuple[Compare, ...]
@@ -69,12 +69,12 @@
 def read_listing(listing: Listing) -> StoredConfiguration:
     """Read the objects in a listing of their prefix."""
     revisions = {pair.key: pair.revision for pair in listing.pairs}
-    reading = _ListingReader()
+    reader = _ListingReader()
     for pair in listing.pairs:
-        reading.read_pair(pair)
+        reader.read_pair(pair)
     newest = max(revisions.values(), default=ABSENT)
-    snapshot = build_snapshot(newest, reading.objects)
-    return StoredConfiguration(snapshot, revisions, reading.unreadable)
+    snapshot = build_snapshot(newest, reader.objects)
+    return StoredConfiguration(snapshot, revisions, reader.unreadable)
 
 
 async def read_store(platform: KeyValueService) -> StoredConfiguration:
@@ -83,7 +83,7 @@
 
 
 async def read_kept_changes(platform: KeyValueService) -> list[ChangeId]:
-    """Read the ids of the changes that are kept, oldest first."""
+    """Read the ids of the retained changes, oldest first."""
     listing = await platform.list_prefix(KEPT_CHANGES_KEY)
     for pair in listing.pairs:
         if pair.key != KEPT_CHANGES_KEY:
@@ -96,7 +96,7 @@
 
 
 class _ListingReader:
-    """Collect the objects of a listing and those that cannot be read."""
+    """Collect the objects of a listing and those that cannot be decoded."""
 
     def __init__(self) -> None:
         self.objects: list[ConfigurationObject] = []
@@ -119,13 +119,13 @@
     edits: Edits,
     record: ChangeRecord,
 ) -> Transaction:
-    """Turn edits into one commit; raise ChangeTooLarge."""
-    if len(edits) > EDITS_PER_CHANGE:
-        raise ChangeTooLarge(len(edits), EDITS_PER_CHANGE)
+    """Convert edits into one transaction; raise ChangeTooLarge."""
+    if len(edits) > MAX_EDITS_PER_CHANGE:
+        raise ChangeTooLarge(len(edits), MAX_EDITS_PER_CHANGE)
     change = record.change
-    # Two operators may each make a sound change that together make no sense,
-    # such as a target added to a group while the group is deleted. All
-    # changes compare and write the head, so one of the two is checked again.
+    # Two concurrent changes can each be valid but invalid together, such as
+    # adding a target to a group while the group is deleted. All changes
+    # compare and write the head, so the later one is validated again.
     compares = [Compare(HEAD_KEY, stored.revisions.get(HEAD_KEY, ABSENT))]
     compares.extend(
         Compare(key.path, stored.read_revision(key)) for key in edits
@@ -133,7 +133,7 @@
     changes = _list_object_changes(edits)
     changes.append(Put(HEAD_KEY, change.encode()))
     changes.extend(_keep_change(kept, change))
-    # The adapter names a lost answer by the last key.
+    # The adapter identifies a lost answer by the last key.
     changes.append(Put(name_change(change), encode_change(record)))
     return Transaction(change, tuple(compares), tuple(changes))
 
@@ -152,8 +152,8 @@
     kept: Sequence[ChangeId],
     change: ChangeId,
 ) -> list[Put | Delete]:
-    surplus = max(0, len(kept) + 1 - CHANGES_KEPT)
-    trimmed = kept[: min(surplus, _TRIMMED_AT_ONCE)]
+    excess = max(0, len(kept) + 1 - MAX_KEPT_CHANGES)
+    trimmed = kept[: min(excess, _MAX_TRIMMED_PER_CHANGE)]
     remaining = [*kept[len(trimmed) :], change]
     return [
         Put(KEPT_CHANGES_KEY, encode(remaining)),
--- a/tests/features/configuration.feature
+++ b/tests/features/configuration.feature
@@ -60,13 +60,13 @@
       | object         | field    | content            | problem                        |
       | target/ada     | group    | "opera"            | group "opera" is not declared  |
       | target/ada     | port     | 13307              | belongs to ada already         |
-      | target/ada     | host     | "db.local"         | is no IP number                |
+      | target/ada     | host     | "db.local"         | is not an IP address           |
       | target/ada     | labels   | {"zone": "x"}      | is computed from the field     |
-      | target/ada     | labels   | {"state": "away"}  | means nothing                  |
+      | target/ada     | labels   | {"state": "away"}  | is not supported               |
       | group/songbook | connection_limit | 13         | 6 seats need 14 connections    |
       | group/songbook | slots    | 0                  | slots is 0; set it to 1        |
       | proxy/p0       | groups   | "zone="            | matches no group               |
-      | proxy/p0       | groups   | "=x"               | is no requirement              |
+      | proxy/p0       | groups   | "=x"               | is not a requirement           |
       | route/browse   | targets  | "zone=moon"        | match no target                |
       | route/browse   | traffic_class | "queue"       | class queue has route queue for |
 
