--- a/src/sedgeshunt/configuration/active.py
+++ b/src/sedgeshunt/configuration/active.py
@@ -48,7 +48,7 @@
         self._copy = ConfigurationCopy(Revision(0), b'')
 
     @property
-    def known(self) -> Revision:
+    def known_revision(self) -> Revision:
         """Return the store revision up to which all changes are known."""
         return max(self._read_up_to, self.snapshot.revision)
 
@@ -72,8 +72,11 @@
         """Activate a listing; return False if it is older."""
         # A restarted watch may connect to a lagging member of the store. Its
         # listing would revert changes that were already active.
-        if listing.revision < self.known:
-            self._refuse('listing', f'revision {listing.revision} is older')
+        if listing.revision < self.known_revision:
+            self._record_refusal(
+                'listing',
+                f'revision {listing.revision} is older',
+            )
             return False
         listed = self._restore_unreadable(read_listing(listing))
         self._read_up_to = listing.revision
@@ -90,10 +93,13 @@
         """Activate a peer's configuration if it is newer."""
         decoded = decode_snapshot(copy.document)
         if isinstance(decoded, Err):
-            self._refuse('peer', decoded.err_value)
+            self._record_refusal('peer', decoded.err_value)
             return False
         if decoded.ok_value.revision <= self.snapshot.revision:
-            self._refuse('peer', f'revision {copy.revision} is not newer')
+            self._record_refusal(
+                'peer',
+                f'revision {copy.revision} is not newer',
+            )
             return False
         self._activate(decoded.ok_value, 'peer')
         return True
@@ -129,7 +135,7 @@
                 continue
             decoded = decode_object(key, event.value)
             if isinstance(decoded, Err):
-                self._refuse('watch', f'{key}: {decoded.err_value}')
+                self._record_refusal('watch', f'{key}: {decoded.err_value}')
             else:
                 edits[key] = decoded.ok_value
         return edits
@@ -139,7 +145,7 @@
         # other changes, so the last readable version stays active.
         kept: dict[ObjectKey, ConfigurationObject | None] = {}
         for key, reason in stored.unreadable.items():
-            self._refuse('listing', f'{key}: {reason}')
+            self._record_refusal('listing', f'{key}: {reason}')
             kept[key] = find_object(self.snapshot, key)
         return change_snapshot(stored.snapshot, stored.snapshot.revision, kept)
 
@@ -161,7 +167,7 @@
         self._applied.set()
         self._applied = Event()
 
-    def _refuse(self, source: str, reason: str) -> None:
+    def _record_refusal(self, source: str, reason: str) -> None:
         self._decisions.record(
             Decision(
                 DecisionKind.CONFIGURATION_REFUSED,
--- a/src/sedgeshunt/configuration/changes.py
+++ b/src/sedgeshunt/configuration/changes.py
@@ -26,7 +26,7 @@
     # Objects whose edits were left out to keep the record within the limit.
     omitted: tuple[str, ...] = ()
 
-    def touches(self, keys: Sequence[ObjectKey]) -> bool:
+    def edits_any(self, keys: Sequence[ObjectKey]) -> bool:
         """Return whether the change edits one of `keys`."""
         names = {str(key) for key in keys}
         edited = {str(edit.key) for edit in self.edits}
--- a/src/sedgeshunt/configuration/checks.py
+++ b/src/sedgeshunt/configuration/checks.py
@@ -23,8 +23,8 @@
 from sedgeshunt.configuration.problems import (
     Problem,
     Severity,
-    note_error,
-    note_warning,
+    make_error,
+    make_warning,
 )
 from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
@@ -67,12 +67,12 @@
 def _check_labels(declared: ConfigurationObject) -> Iterator[Problem]:
     for key, content in declared.labels.items():
         if key in COMPUTED_LABELS:
-            yield note_error(
+            yield make_error(
                 declared,
                 f'label "{key}" is computed from the field; remove it',
             )
         elif not is_label_key(key) or not is_label_value(content):
-            yield note_error(
+            yield make_error(
                 declared,
                 f'label "{key}={content}" cannot be selected; use letters, '
                 + 'digits, ".", "_" and "-", and "/" in the key, at most 63',
@@ -80,7 +80,7 @@
     state = declared.labels.get(STATE_LABEL, LEAVING)
     if state != LEAVING:
         # A mistyped state would look like a drain but have no effect.
-        yield note_error(
+        yield make_error(
             declared,
             f'label "{STATE_LABEL}={state}" is not supported; write '
             + f'"{STATE_LABEL}={LEAVING}" or remove it',
@@ -96,19 +96,19 @@
     for name, text in selectors.items():
         read = read_selector(text)
         if read.is_err():
-            yield note_error(declared, f'selector "{name}": {read.err()}')
+            yield make_error(declared, f'selector "{name}": {read.err()}')
 
 
 def _check_numbers(declared: ConfigurationObject) -> Iterator[Problem]:
     for name, minimum in _MIN_BY_FIELD.items():
         number = getattr(declared, name, minimum)
         if number < minimum:
-            yield note_error(
+            yield make_error(
                 declared,
                 f'{name} is {number}; set it to {minimum} or more',
             )
     if isinstance(declared, Objective) and not 0 < declared.answered_share < 1:
-        yield note_error(
+        yield make_error(
             declared,
             f'answered_share is {declared.answered_share}; '
             + 'set it between 0 and 1, for example 0.999',
@@ -119,14 +119,14 @@
     matcher = SelectorMatcher(snapshot)
     for proxy in snapshot.proxies.values():
         if snapshot.groups and not matcher.list_proxy_groups(proxy):
-            yield note_warning(
+            yield make_warning(
                 proxy,
                 'the selector matches no group; compare it with '
                 + '"sedgeshunt get group"',
             )
     for route in snapshot.routes.values():
         if not matcher.list_route_targets(route):
-            yield note_warning(
+            yield make_warning(
                 route,
                 'the selectors match no target; compare them with '
                 + '"sedgeshunt get target"',
@@ -145,7 +145,7 @@
         for group in matcher.list_route_groups(route):
             other = first.setdefault((route.traffic_class, group), route)
             if other is not route:
-                yield note_error(
+                yield make_error(
                     route,
                     f'class {route.traffic_class} has route {other.name} for '
                     + f'group {group} already; make the selectors of groups '
@@ -160,13 +160,13 @@
     for objective in snapshot.objectives.values():
         other = first.setdefault(objective.traffic_class, objective)
         if other is not objective:
-            yield note_error(
+            yield make_error(
                 objective,
                 f'class {objective.traffic_class} has objective {other.name} '
                 + 'already; keep one of the two',
             )
         if objective.traffic_class not in routed:
-            yield note_warning(
+            yield make_warning(
                 objective,
                 f'no route declares class {objective.traffic_class}; '
                 + 'add one or correct the class',
--- a/src/sedgeshunt/configuration/conflicts.py
+++ b/src/sedgeshunt/configuration/conflicts.py
@@ -48,9 +48,9 @@
             if stored.read_revision(key) != first.read_revision(key)
         ]
         if changed:
-            raise await self.describe(changed, first)
+            raise await self.build_conflict(changed, first)
 
-    async def describe(
+    async def build_conflict(
         self,
         keys: Sequence[ObjectKey],
         first: StoredConfiguration,
--- a/src/sedgeshunt/configuration/errors.py
+++ b/src/sedgeshunt/configuration/errors.py
@@ -20,13 +20,13 @@
         """Store the objects and the concurrent changes to them."""
         super().__init__(keys, conflicting)
         self.keys = tuple(keys)
-        self.conflicting = tuple(conflicting)
+        self.conflicting_changes = tuple(conflicting)
 
     def format_message(self) -> str:
         """Return the conflicting changes, their authors and the remedy."""
         names = ', '.join(str(key) for key in self.keys)
         lines = [f'{names} changed since it was read; nothing was changed']
-        for conflict in self.conflicting:
+        for conflict in self.conflicting_changes:
             record = conflict.record
             lines.append(
                 f'  - {record.author} at {record.at}, '
--- a/src/sedgeshunt/configuration/feed.py
+++ b/src/sedgeshunt/configuration/feed.py
@@ -94,7 +94,7 @@
             try:
                 await self._follow_until_failure()
             except (WatchCompacted, EventsOutOfOrder):
-                self._resync_after = self._active.known
+                self._resync_after = self._active.known_revision
                 await self._ask_peer()
             self._watch_is_up = False
             await self._wait_before_retry()
@@ -109,7 +109,10 @@
         ):
             return
         self._resync_after = None
-        watch = self._platform.watch(OBJECTS_PREFIX, self._active.known)
+        watch = self._platform.watch(
+            OBJECTS_PREFIX,
+            self._active.known_revision,
+        )
         async with AsyncExitStack() as owned:
             if isinstance(watch, AsyncGenerator):
                 owned.push_async_callback(watch.aclose)
@@ -120,7 +123,7 @@
                 self._failures = 0
 
     async def _resync(self, revision: Revision) -> bool:
-        if self._active.known > revision:
+        if self._active.known_revision > revision:
             return True
         async with timeout(LIST_TIMEOUT):
             listing = await self._platform.list_prefix(OBJECTS_PREFIX)
@@ -154,8 +157,8 @@
     def _compute_delay_limit(self) -> float:
         # Limits the retry rate of all proxies together, so that retries do
         # not use up the store's request rate; small fleets retry sooner.
-        fleet = len(self._active.snapshot.proxies)
+        proxy_count = len(self._active.snapshot.proxies)
         return min(
             MAX_RETRY_DELAY,
-            max(MIN_DELAY_LIMIT, fleet / FLEET_RETRIES_PER_SECOND),
+            max(MIN_DELAY_LIMIT, proxy_count / FLEET_RETRIES_PER_SECOND),
         )
--- a/src/sedgeshunt/configuration/history.py
+++ b/src/sedgeshunt/configuration/history.py
@@ -33,7 +33,7 @@
         return _read_changes(await self._platform.list_prefix(CHANGES_PREFIX))
 
     async def find_change(self, change: ChangeId) -> ChangeLookup:
-        """Look for one change; raise PlatformUnavailable."""
+        """Find one change; raise PlatformUnavailable."""
         listing = await self._platform.list_prefix(name_change(change))
         for recorded in _read_changes(listing):
             if recorded.record.change == change:
@@ -49,7 +49,7 @@
         return [
             recorded
             for recorded in await self.list_changes()
-            if recorded.revision > after and recorded.record.touches(keys)
+            if recorded.revision > after and recorded.record.edits_any(keys)
         ]
 
 
--- a/src/sedgeshunt/configuration/intents.py
+++ b/src/sedgeshunt/configuration/intents.py
@@ -39,7 +39,7 @@
 
     def plan(self, snapshot: Snapshot) -> Edits:
         """Return an edit for each object that differs."""
-        wanted = {ObjectKey.of(one): one for one in self.objects}
+        wanted = {ObjectKey.of(declared): declared for declared in self.objects}
         return {
             key: declared
             for key, declared in wanted.items()
--- a/src/sedgeshunt/configuration/placement_checks.py
+++ b/src/sedgeshunt/configuration/placement_checks.py
@@ -6,8 +6,8 @@
 from sedgeshunt.configuration.objects import Group, Proxy, Target
 from sedgeshunt.configuration.problems import (
     Problem,
-    note_error,
-    note_warning,
+    make_error,
+    make_warning,
 )
 from sedgeshunt.configuration.selector_matcher import SelectorMatcher
 from sedgeshunt.configuration.snapshot import Snapshot
@@ -31,7 +31,7 @@
         yield from _check_address(declared, address)
         other = first.setdefault(address, declared)
         if other is not declared:
-            yield note_error(
+            yield make_error(
                 declared,
                 f'{address.host}:{address.port} belongs to {other.name} '
                 + 'already; correct one of the two',
@@ -42,7 +42,7 @@
     """Report missing groups, too few targets and inconsistent limits."""
     for target in snapshot.targets.values():
         if target.group not in snapshot.groups:
-            yield note_error(
+            yield make_error(
                 target,
                 f'group "{target.group}" is not declared; add a [[group]] '
                 + 'of that name or correct the field',
@@ -66,14 +66,14 @@
     address: Address,
 ) -> Iterator[Problem]:
     if not 0 < address.port <= MAX_PORT:
-        yield note_error(
+        yield make_error(
             declared,
             f'port {address.port} is out of range; use 1 to {MAX_PORT}',
         )
     try:
         ip_address(address.host)
     except ValueError:
-        yield note_error(
+        yield make_error(
             declared,
             f'host "{address.host}" is not an IP address; host names are '
             + 'not resolved, write the address',
@@ -83,14 +83,14 @@
 def _check_limits(group: Group) -> Iterator[Problem]:
     needed = CONNECTIONS_PER_SEAT * group.seats + UNSEATED_PROXY_CONNECTIONS
     if group.connection_limit < needed:
-        yield note_error(
+        yield make_error(
             group,
             f'{group.seats} seats need {needed} connections to each target '
             + f'and connection_limit is {group.connection_limit}; '
             + 'raise the limit or lower seats',
         )
     if group.slots > group.connection_limit:
-        yield note_error(
+        yield make_error(
             group,
             f'{group.slots} slots cannot be used over '
             + f'{group.connection_limit} connections; lower slots',
@@ -100,14 +100,14 @@
 def _check_members(snapshot: Snapshot, group: Group) -> Iterator[Problem]:
     members = snapshot.list_targets(group.name)
     if len(members) < MIN_TARGETS:
-        yield note_warning(
+        yield make_warning(
             group,
             f'{len(members)} targets cannot lose one and keep a majority; '
             + f'add targets up to {MIN_TARGETS}',
         )
     leaving = [target for target in members if target.is_leaving()]
     if members and len(leaving) == len(members):
-        yield note_warning(
+        yield make_warning(
             group,
             'every target is leaving and none takes work; remove the label '
             + 'from one',
@@ -117,7 +117,7 @@
 def _check_seats(matcher: SelectorMatcher, group: Group) -> Iterator[Problem]:
     serving = len(matcher.list_group_proxies(group.name))
     if serving > group.seats:
-        yield note_warning(
+        yield make_warning(
             group,
             f'{serving} proxies serve it and share {group.seats} seats; '
             + 'raise seats or narrow the selectors of proxies',
--- a/src/sedgeshunt/configuration/problems.py
+++ b/src/sedgeshunt/configuration/problems.py
@@ -27,11 +27,11 @@
         return f'{self.severity.value}: {self.subject}: {self.message}'
 
 
-def note_error(declared: ConfigurationObject, message: str) -> Problem:
+def make_error(declared: ConfigurationObject, message: str) -> Problem:
     """Return a problem that prevents `declared` from being applied."""
     return Problem(Severity.ERROR, ObjectKey.of(declared), message)
 
 
-def note_warning(declared: ConfigurationObject, message: str) -> Problem:
+def make_warning(declared: ConfigurationObject, message: str) -> Problem:
     """Return a problem that does not prevent `declared` being applied."""
     return Problem(Severity.WARNING, ObjectKey.of(declared), message)
--- a/src/sedgeshunt/configuration/registry.py
+++ b/src/sedgeshunt/configuration/registry.py
@@ -126,7 +126,7 @@
             if applied is not None:
                 return applied
             stored = await self._read_again(first, intent)
-        raise await self._conflicts.describe(intent.keys, first)
+        raise await self._conflicts.build_conflict(intent.keys, first)
 
     async def _read_again(
         self,
@@ -188,5 +188,5 @@
     introduced = set(list_errors(after)) - set(list_errors(before))
     if introduced:
         raise ObjectsInvalid(
-            sorted(problem.describe() for problem in introduced)
+            sorted(problem.describe() for problem in introduced),
         )
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -149,10 +149,12 @@
 @then('one change is refused as a conflict that names the other')
 def check_conflict(context: Any) -> None:
     conflict, applied = split(context.results, RevisionConflict)
-    assert [rival.record.change for rival in conflict.conflicting] == [
+    assert [
+        change.record.change for change in conflict.conflicting_changes
+    ] == [
         applied.change,
     ]
-    assert conflict.conflicting[0].record.author in str(conflict)
+    assert conflict.conflicting_changes[0].record.author in str(conflict)
     assert 'merge your change and apply it again' in str(conflict)
 
 
