--- a/src/sedgeshunt/configuration/rivals.py
+++ b/src/sedgeshunt/configuration/conflicts.py
@@ -1,4 +1,4 @@
-"""Notice what rivals changed in the meantime."""
+"""Detect concurrent changes to the same objects."""
 
 from collections.abc import Sequence
 
@@ -11,8 +11,8 @@
 from sedgeshunt.ports import KeyValueService
 
 
-class RivalCheck:
-    """Refuse to change what others changed first, and name them."""
+class ConflictCheck:
+    """Reject changes to objects that others changed first."""
 
     def __init__(self, platform: KeyValueService) -> None:
         """Read the log of changes from `platform`."""
@@ -24,17 +24,16 @@
         intent: Intent,
         expected: Revision | None,
     ) -> None:
-        """Raise RevisionConflict for changes past `expected`."""
+        """Raise RevisionConflict for changes after `expected`."""
         if expected is None or stored.snapshot.revision <= expected:
             return
-        # A file that was read long ago would undo, without a word, what
-        # others changed since; also what they deleted, which only the log
-        # still tells.
+        # An outdated file would silently undo changes made since, including
+        # deletions, which only the change log still shows.
         keys = tuple(intent.plan(stored.snapshot))
-        rivals = await self._history.list_rivals(keys, expected)
+        conflicting = await self._history.list_changes_to(keys, expected)
         newer = [key for key in keys if stored.read_revision(key) > expected]
-        if rivals or newer:
-            raise RevisionConflict(keys, rivals)
+        if conflicting or newer:
+            raise RevisionConflict(keys, conflicting)
 
     async def refuse_changed(
         self,
@@ -42,21 +41,21 @@
         stored: StoredConfiguration,
         intent: Intent,
     ) -> None:
-        """Raise RevisionConflict for changes between two readings."""
+        """Raise RevisionConflict for changes between two reads."""
         changed = [
             key
             for key in intent.keys
             if stored.read_revision(key) != first.read_revision(key)
         ]
         if changed:
-            raise await self.describe(changed, first)
+            raise await self.build_conflict(changed, first)
 
-    async def describe(
+    async def build_conflict(
         self,
         keys: Sequence[ObjectKey],
         first: StoredConfiguration,
     ) -> RevisionConflict:
-        """Return the conflict with what rivals did since `first`."""
+        """Return the conflict with the changes since `first`."""
         revision = first.snapshot.revision
-        rivals = await self._history.list_rivals(keys, revision)
-        return RevisionConflict(keys, rivals)
+        conflicting = await self._history.list_changes_to(keys, revision)
+        return RevisionConflict(keys, conflicting)
--- a/src/sedgeshunt/configuration/registry.py
+++ b/src/sedgeshunt/configuration/registry.py
@@ -1,4 +1,4 @@
-"""Change objects in the platform's store, one commit for each change."""
+"""Change objects in the platform's store, one commit per change."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -8,6 +8,8 @@
 
 from sedgeshunt.configuration.changes import ChangeRecord
 from sedgeshunt.configuration.checks import list_errors
+from sedgeshunt.configuration.committer import Committer
+from sedgeshunt.configuration.conflicts import ConflictCheck
 from sedgeshunt.configuration.differences import ObjectEdit, compare_edits
 from sedgeshunt.configuration.edits import Edits, change_snapshot
 from sedgeshunt.configuration.errors import ObjectsInvalid
@@ -19,8 +21,6 @@
 )
 from sedgeshunt.configuration.keys import ObjectKey
 from sedgeshunt.configuration.objects import ConfigurationObject
-from sedgeshunt.configuration.rivals import RivalCheck
-from sedgeshunt.configuration.settling import Settler
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.configuration.store import (
     StoredConfiguration,
@@ -31,13 +31,13 @@
 from sedgeshunt.identifiers import ChangeId, Revision
 from sedgeshunt.ports import KeyValueService
 
-# Rivals that change other objects cost another round each.
-ROUNDS = 8
+# Each concurrent change to other objects costs one more attempt.
+MAX_ATTEMPTS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedChange:
-    """Hold what a change did; without edits nothing was committed."""
+    """Hold the result of a change; without edits nothing was committed."""
 
     revision: Revision
     change: ChangeId | None = None
@@ -53,14 +53,14 @@
         author: str,
         random: Random | None = None,
     ) -> None:
-        """Write to `platform`, recording `author` with each change."""
-        # The change that was sent and whose fate is not known yet, for the
-        # message to an operator who interrupts.
-        self.unsettled: ChangeId | None = None
+        """Write to `platform` and record `author` with each change."""
+        # The change that was sent but is not confirmed yet; named in the
+        # message if the command is interrupted.
+        self.unconfirmed: ChangeId | None = None
         self._platform = platform
         self._author = author
-        self._settler = Settler(platform, random or Random())
-        self._rivals = RivalCheck(platform)
+        self._committer = Committer(platform, random or Random())
+        self._conflicts = ConflictCheck(platform)
 
     async def read(self) -> StoredConfiguration:
         """Read all objects; raise PlatformUnavailable."""
@@ -113,20 +113,20 @@
         message: str,
         expected: Revision | None = None,
     ) -> AppliedChange:
-        """Bring an intent about in one commit.
+        """Apply an intent in one commit.
 
         Raise RevisionConflict, ObjectsInvalid, ObjectNotFound,
         ChangeTooLarge, PlatformUnavailable or AnswerLost.
         """
         first = await self.read()
-        await self._rivals.refuse_newer(first, intent, expected)
+        await self._conflicts.refuse_newer(first, intent, expected)
         stored = first
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ATTEMPTS):
             applied = await self._attempt(stored, intent, message)
             if applied is not None:
                 return applied
             stored = await self._read_again(first, intent)
-        raise await self._rivals.describe(intent.keys, first)
+        raise await self._conflicts.build_conflict(intent.keys, first)
 
     async def _read_again(
         self,
@@ -134,7 +134,7 @@
         intent: Intent,
     ) -> StoredConfiguration:
         stored = await self.read()
-        await self._rivals.refuse_changed(first, stored, intent)
+        await self._conflicts.refuse_changed(first, stored, intent)
         return stored
 
     async def _attempt(
@@ -147,14 +147,14 @@
         described = tuple(compare_edits(stored.snapshot, edits))
         if not described:
             return AppliedChange(stored.snapshot.revision)
-        _refuse_errors(stored.snapshot, edits)
-        record = self._write_record(message, described)
+        _reject_new_errors(stored.snapshot, edits)
+        record = self._build_record(message, described)
         revision = await self._commit(stored, edits, record)
         if revision is None:
             return None
         return AppliedChange(revision, record.change, described)
 
-    def _write_record(
+    def _build_record(
         self,
         message: str,
         edits: tuple[ObjectEdit, ...],
@@ -175,16 +175,18 @@
     ) -> Revision | None:
         kept = await read_kept_changes(self._platform)
         transaction = prepare_transaction(stored, kept, edits, record)
-        self.unsettled = record.change
-        outcome = await self._settler.settle(transaction)
-        self.unsettled = None
+        self.unconfirmed = record.change
+        outcome = await self._committer.commit(transaction)
+        self.unconfirmed = None
         return outcome.revision if outcome.succeeded else None
 
 
-def _refuse_errors(before: Snapshot, edits: Edits) -> None:
-    # Errors that were there before must not stand in the way of a change in
-    # an emergency; only those that it brings refuse it.
+def _reject_new_errors(before: Snapshot, edits: Edits) -> None:
+    # Errors that already exist must not block an emergency change; only the
+    # errors that the change introduces reject it.
     after = change_snapshot(before, before.revision, edits)
-    brought = set(list_errors(after)) - set(list_errors(before))
-    if brought:
-        raise ObjectsInvalid(sorted(problem.describe() for problem in brought))
+    introduced = set(list_errors(after)) - set(list_errors(before))
+    if introduced:
+        raise ObjectsInvalid(
+            sorted(problem.describe() for problem in introduced),
+        )
