--- a/src/sedgeshunt/burn/buckets.py
+++ b/src/sedgeshunt/burn/buckets.py
@@ -17,10 +17,13 @@
 )
 
 FINE_WIDTH = 10
-FINE_HORIZON = Seconds(3600)
+FINE_RETENTION = Seconds(3600)
 COARSE_WIDTH = 900
-COARSE_HORIZON = Seconds(3 * 24 * 3600)
-HORIZONS = {FINE_WIDTH: FINE_HORIZON, COARSE_WIDTH: COARSE_HORIZON}
+COARSE_RETENTION = Seconds(3 * 24 * 3600)
+RETENTION_BY_WIDTH = {
+    FINE_WIDTH: FINE_RETENTION,
+    COARSE_WIDTH: COARSE_RETENTION,
+}
 # Different kinds counted in one bucket; further ones go without a target.
 MAX_KINDS = 256
 
--- a/src/sedgeshunt/burn/copies.py
+++ b/src/sedgeshunt/burn/copies.py
@@ -8,9 +8,9 @@
 from msgspec import DecodeError
 
 from sedgeshunt.burn.buckets import (
-    COARSE_HORIZON,
+    COARSE_RETENTION,
     FINE_WIDTH,
-    HORIZONS,
+    RETENTION_BY_WIDTH,
     Bucket,
     BucketKey,
     SealedBucket,
@@ -55,7 +55,7 @@
         # time come once more; the slack covers the answer's time on its way.
         return Seconds(now - max(heard) + FINE_WIDTH)
 
-    def keep(self, encoded: bytes, now: Monotonic) -> None:
+    def add(self, encoded: bytes, now: Monotonic) -> None:
         """Take in what a proxy answered; raise DecodeError if unreadable."""
         document = decode_document(encoded)
         run = (document.proxy, document.incarnation)
@@ -98,7 +98,7 @@
             copy.buckets = {
                 key: sealed
                 for key, sealed in copy.buckets.items()
-                if _compute_age(key, clock) < HORIZONS[key.width]
+                if _compute_age(key, clock) < RETENTION_BY_WIDTH[key.width]
             }
 
 
@@ -165,7 +165,7 @@
     for document in documents:
         runs[document.proxy].add(document.incarnation)
         counted_for = document.clock - document.started_at
-        if not document.is_copy and counted_for < COARSE_HORIZON:
+        if not document.is_copy and counted_for < COARSE_RETENTION:
             recent.add(document.proxy)
     return frozenset(proxy for proxy in recent if len(runs[proxy]) == 1)
 
--- a/src/sedgeshunt/burn/exchange.py
+++ b/src/sedgeshunt/burn/exchange.py
@@ -8,7 +8,7 @@
 
 from msgspec import DecodeError
 
-from sedgeshunt.burn.buckets import COARSE_HORIZON
+from sedgeshunt.burn.buckets import COARSE_RETENTION
 from sedgeshunt.burn.copies import TallyCopies
 from sedgeshunt.burn.tally import Tally
 from sedgeshunt.clocks import read_clock
@@ -54,7 +54,7 @@
         for held in ring.list_held():
             await self._fetch(held, ring)
 
-    def answer(
+    def list_documents(
         self,
         since: Seconds,
         proxies: Sequence[ProxyId] = (),
@@ -77,7 +77,7 @@
         # rolling restart would else lose them one by one.
         for source in (*ring.list_holders(held), held):
             missing = self._copies.find_missing(name, read_clock())
-            await self._fetch_from(source, name, missing or COARSE_HORIZON)
+            await self._fetch_from(source, name, missing or COARSE_RETENTION)
 
     async def _fetch_from(
         self,
@@ -93,7 +93,7 @@
                 connection = await self._connector.connect(address)
                 owned.push_async_callback(connection.close)
                 for copied in await connection.copy_tallies(since, (name,)):
-                    self._copies.keep(copied, read_clock())
+                    self._copies.add(copied, read_clock())
 
 
 class _Ring:
--- a/src/sedgeshunt/burn/gap_watch.py
+++ b/src/sedgeshunt/burn/gap_detector.py
@@ -7,10 +7,10 @@
 from sedgeshunt.groups.view import GroupView
 from sedgeshunt.identifiers import GroupId, Monotonic, Seconds, TargetId
 
-GapNote = Callable[[GroupId, Seconds, Monotonic], None]
+GapRecorder = Callable[[GroupId, Seconds, Monotonic], None]
 
 
-class GapWatch:
+class GapDetector:
     """Measure from the last proof that writes are taken to the next."""
 
     # A gap counts also if no write came meanwhile: the objective is about
@@ -19,13 +19,13 @@
     def __init__(
         self,
         view: GroupView,
-        note_gap: GapNote,
+        record_gap: GapRecorder,
         decisions: DecisionLog,
     ) -> None:
-        """Tell `note_gap` of each gap of the view's group that has ended."""
+        """Pass to `record_gap` each gap of the view's group that has ended."""
         self._decisions = decisions
         self._view = view
-        self._note_gap = note_gap
+        self._record_gap = record_gap
         self._proven_at: Monotonic | None = None
         self._is_open = False
 
@@ -41,7 +41,7 @@
         if self._is_open and self._proven_at is not None:
             # Our own pause is no gap of the group, though nothing was heard.
             began_at = max(self._proven_at, self._view.pauses.resumed_at)
-            self._note_gap(self._view.group, Seconds(now - began_at), now)
+            self._record_gap(self._view.group, Seconds(now - began_at), now)
         self._is_open = False
         self._proven_at = self._find_proof()
 
--- a/src/sedgeshunt/burn/objectives.py
+++ b/src/sedgeshunt/burn/objectives.py
@@ -72,7 +72,7 @@
     total: int = 0
     bad: int = 0
 
-    def compute_burn(self, objective: Objective) -> float:
+    def compute_burn_rate(self, objective: Objective) -> float:
         """Return the share that failed over the share that may fail."""
         if not self.total:
             return 0
--- a/src/sedgeshunt/burn/plot.py
+++ b/src/sedgeshunt/burn/plot.py
@@ -39,7 +39,7 @@
     for burn in objectives:
         hours = [-point.ago / HOUR for point in burn.series]
         rates = [
-            max(LOWEST_BURN, point.spending.compute_burn(burn.objective))
+            max(LOWEST_BURN, point.spending.compute_burn_rate(burn.objective))
             for point in burn.series
         ]
         axes.plot(hours, rates, label=burn.objective.name, drawstyle='steps')
--- a/src/sedgeshunt/burn/report.py
+++ b/src/sedgeshunt/burn/report.py
@@ -6,7 +6,7 @@
 
 from sedgeshunt.burn.buckets import (
     COARSE_WIDTH,
-    FINE_HORIZON,
+    FINE_RETENTION,
     FINE_WIDTH,
     OutcomeKind,
 )
@@ -145,13 +145,13 @@
     window: Seconds,
 ) -> WindowBurn:
     # Both widths hold the same requests; a window reads one of them only.
-    width = FINE_WIDTH if window <= FINE_HORIZON else COARSE_WIDTH
+    width = FINE_WIDTH if window <= FINE_RETENTION else COARSE_WIDTH
     spent = Spending()
     for dated, spending in spendings:
         is_within = dated.ended_ago + width / 2 < window
         if dated.bucket.width == width and is_within:
             spent += spending
-    return WindowBurn(window, spent, spent.compute_burn(objective))
+    return WindowBurn(window, spent, spent.compute_burn_rate(objective))
 
 
 def _judge(
--- a/src/sedgeshunt/burn/tally.py
+++ b/src/sedgeshunt/burn/tally.py
@@ -4,10 +4,10 @@
 from secrets import token_hex
 
 from sedgeshunt.burn.buckets import (
-    COARSE_HORIZON,
+    COARSE_RETENTION,
     COARSE_WIDTH,
     FINE_WIDTH,
-    HORIZONS,
+    RETENTION_BY_WIDTH,
     MAX_KINDS,
     BucketKey,
     Gap,
@@ -55,7 +55,7 @@
             COARSE_WIDTH: deque(),
         }
 
-    def note(
+    def record_outcome(
         self,
         traffic_class: TrafficClass,
         outcome: str,
@@ -80,7 +80,7 @@
             step = compute_step(latency)
             cell.steps[step] = cell.steps.get(step, 0) + 1
 
-    def note_gap(
+    def record_gap(
         self,
         group: GroupId,
         seconds: Seconds,
@@ -95,7 +95,7 @@
     def encode(self, now: Monotonic, since: Seconds | None = None) -> bytes:
         """Write the counts, only those of the last `since` if it is given."""
         self._roll(now)
-        reach = COARSE_HORIZON if since is None else since
+        reach = COARSE_RETENTION if since is None else since
         oldest = now - reach
         buckets = [
             sealed
@@ -155,7 +155,7 @@
         kept = self._sealed[key.width]
         if counted:
             kept.append(counted.seal(key))
-        oldest = now - HORIZONS[key.width]
+        oldest = now - RETENTION_BY_WIDTH[key.width]
         while kept and _compute_end(kept[0].key) < oldest:
             kept.popleft()
 
--- a/src/sedgeshunt/cli/burn.py
+++ b/src/sedgeshunt/cli/burn.py
@@ -7,7 +7,7 @@
 
 from cyclopts import Parameter
 
-from sedgeshunt.burn.buckets import COARSE_HORIZON
+from sedgeshunt.burn.buckets import COARSE_RETENTION
 from sedgeshunt.burn.report import BurnReport, build_report
 from sedgeshunt.cli.burn_text import describe_report, list_payload
 from sedgeshunt.cli.console import Console
@@ -93,7 +93,7 @@
 
 
 async def _ask_tallies(connection: PeerConnection) -> list[bytes]:
-    return list(await connection.copy_tallies(COARSE_HORIZON))
+    return list(await connection.copy_tallies(COARSE_RETENTION))
 
 
 def _build(
--- a/src/sedgeshunt/group_runtime.py
+++ b/src/sedgeshunt/group_runtime.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from sedgeshunt.burn.gap_watch import GapWatch
+from sedgeshunt.burn.gap_detector import GapDetector
 from sedgeshunt.configuration.objects import LEAVING, STATE_LABEL, Target
 from sedgeshunt.configuration.snapshot import Snapshot
 from sedgeshunt.groups.supervisor import GroupSupervisor
@@ -23,7 +23,7 @@
         keeper: GroupSupervisor,
         is_leaving: Callable[[Target], bool],
         list_proxies: Callable[[], Sequence[ProxyId]],
-        gaps: GapWatch,
+        gaps: GapDetector,
     ) -> None:
         """Bring the parts together; nothing runs before run()."""
         self.service = service
--- a/src/sedgeshunt/proxy.py
+++ b/src/sedgeshunt/proxy.py
@@ -127,7 +127,7 @@
                 self.roster,
                 self.instance_watch,
                 self.seat,
-                self.recorder.tally.note_gap,
+                self.recorder.tally.record_gap,
             ),
         )
         self.runtimes = self.groups.runtimes
@@ -220,7 +220,7 @@
         proxies: Sequence[ProxyId] = (),
     ) -> Sequence[bytes]:
         """Return counts and copies, those of `proxies` or all."""
-        return self.tallies.answer(since, proxies)
+        return self.tallies.list_documents(since, proxies)
 
     def _count_proxies(self) -> int:
         return max(1, len(self.feed.snapshot.proxies))
--- a/src/sedgeshunt/requests/recorder.py
+++ b/src/sedgeshunt/requests/recorder.py
@@ -50,7 +50,7 @@
         name = name_outcome(refusal)
         target = _find_target(outcome)
         cause = _name_cause(refusal)
-        self.tally.note(
+        self.tally.record_outcome(
             request.traffic_class,
             name,
             cause,
--- a/src/sedgeshunt/served_groups.py
+++ b/src/sedgeshunt/served_groups.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from sedgeshunt.burn.gap_watch import GapNote, GapWatch
+from sedgeshunt.burn.gap_detector import GapDetector, GapRecorder
 from sedgeshunt.clocks import PauseWatch
 from sedgeshunt.configuration.objects import Group, Target
 from sedgeshunt.configuration.reach import Reach
@@ -39,7 +39,7 @@
     roster: PeerRoster
     instances: InstanceWatch
     seat: SeatHolder
-    note_gap: GapNote
+    record_gap: GapRecorder
 
 
 class ServedGroups:
@@ -120,7 +120,7 @@
             keeper,
             parts.instances.is_target_leaving,
             partial(self._list_proxies, group.name),
-            GapWatch(view, parts.note_gap, parts.decisions),
+            GapDetector(view, parts.record_gap, parts.decisions),
         )
 
     def _make_service(
--- a/tests/features/steps/burn_steps.py
+++ b/tests/features/steps/burn_steps.py
@@ -78,7 +78,7 @@
     now = context.bench.read_clock(proxy)
     noted = (name, outcome, cause, target, Seconds(spent / 1000), now)
     for _ in range(count):
-        context.bench.tallies[proxy].note(*noted)
+        context.bench.tallies[proxy].record_outcome(*noted)
 
 
 @when(
@@ -106,7 +106,7 @@
     now = bench.read_clock(owner)
     since = bench.copies[owner].find_missing(ProxyId(proxy), now)
     encoded = bench.tallies[proxy].encode(bench.read_clock(proxy), since)
-    bench.copies[owner].keep(encoded, now)
+    bench.copies[owner].add(encoded, now)
 
 
 @when('"{proxy}" is replaced by a new run')
@@ -118,7 +118,7 @@
 def see_gaps(context: Any) -> None:
     for row in context.table:
         context.bench.now = float(row['ended at'])
-        context.bench.tallies[row['proxy']].note_gap(
+        context.bench.tallies[row['proxy']].record_gap(
             GroupId('songbook'),
             Seconds(float(row['seconds'])),
             context.bench.read_clock(row['proxy']),
