--- a/src/sedgeshunt/burn/__init__.py
+++ b/src/sedgeshunt/burn/__init__.py
@@ -1,1 +1,1 @@
-"""Report how fast the service-level error budget burns."""
+"""Report burn rates of the error budgets of service-level objectives."""
--- a/src/sedgeshunt/burn/buckets.py
+++ b/src/sedgeshunt/burn/buckets.py
@@ -24,17 +24,18 @@
     FINE_WIDTH: FINE_RETENTION,
     COARSE_WIDTH: COARSE_RETENTION,
 }
-# Different kinds counted in one bucket; further ones go without a target.
+# Limit on distinct kinds, and on gaps, in one bucket of a tally. Outcomes of
+# further kinds are counted without their target, further gaps are dropped.
 MAX_KINDS = 256
 
-# Latencies are counted in steps of an eighth of a power of two.
+# The latency histogram divides each power of two into eight equal steps.
 _UNITS_PER_SECOND = 10000
 _SUBSTEP_BITS = 3
-_COMPRESSION = 1
+_COMPRESSION_LEVEL = 1
 
 
 class OutcomeKind(NamedTuple):
-    """Tell alike outcomes from others."""
+    """Identify the outcomes that are counted together."""
 
     traffic_class: TrafficClass
     outcome: str
@@ -42,15 +43,15 @@
     target: TargetId
 
 
-_Kind = tuple[TrafficClass, str, str, TargetId]
+_KindTuple = tuple[TrafficClass, str, str, TargetId]
 
 
 class OutcomeCell(Struct, array_like=True):
-    """Count the outcomes of one kind, and their latencies by step."""
+    """Count the outcomes of one kind, with a latency histogram."""
 
     kind: OutcomeKind
     count: int
-    # Kept for answers only.
+    # Filled only for outcomes in which the caller got an answer.
     steps: dict[int, int] = field(default_factory=dict)
 
     def add(self, other: 'OutcomeCell') -> None:
@@ -61,7 +62,7 @@
 
 
 class Gap(Struct, frozen=True, array_like=True):
-    """Hold a span in which a group took no writes, and when it ended."""
+    """Describe a period in which a group accepted no writes."""
 
     group: GroupId
     seconds: Seconds
@@ -69,14 +70,14 @@
 
 
 class BucketKey(Struct, frozen=True, array_like=True):
-    """Place a bucket on the clock of the proxy that counted."""
+    """Identify a bucket by its position on the clock of its proxy."""
 
     width: int
     sequence: int
 
 
 class Bucket(Struct, array_like=True):
-    """Hold what one proxy counted in one span of its clock."""
+    """Hold what one proxy counted in one interval of its clock."""
 
     width: int
     sequence: int
@@ -85,40 +86,42 @@
 
 
 class SealedBucket(Struct, frozen=True, array_like=True):
-    """Hold a bucket as it is kept and travels, compressed by itself."""
+    """Hold a separately compressed bucket, for storage and transfer."""
 
-    # Compressing days of counts for one answer would hold up the statements
-    # of a proxy for a tenth of a second; buckets need it once, one by one.
+    # Compressing days of counts for each reply would block the event loop,
+    # and so the proxy's statements, for a tenth of a second. Each bucket is
+    # therefore compressed once, when it is complete.
 
     key: BucketKey
     counts: bytes
 
 
 class TallyDocument(Struct):
-    """Hold one proxy's buckets as they travel."""
+    """Hold the buckets of one proxy, as sent between proxies."""
 
     proxy: ProxyId
-    # Tells the runs of one proxy apart: each has a clock of its own.
+    # Distinguishes the runs of one proxy, as each has its own clock.
     incarnation: str
-    # The proxy's clock when it wrote the document.
+    # The proxy's clock when it encoded the document.
     clock: Monotonic
     buckets: list[SealedBucket]
-    # Set by a peer that passes on its copy, with the time since it came.
+    # Set by a peer that forwards its copy, with the age of that copy.
     is_copy: bool = False
     waited: Seconds = Seconds(0)
-    # The proxy's clock when this run began to count.
+    # The proxy's clock when this run started counting.
     started_at: Monotonic = Monotonic(0)
 
 
 class OpenBucket(Struct):
-    """Count into a bucket that is not over yet."""
+    """Accumulate the counts of a bucket that has not ended yet."""
 
-    # Found by a plain tuple too, which costs less to make than a kind.
-    cells: dict[_Kind, OutcomeCell] = field(default_factory=dict)
+    # Plain tuples serve as lookup keys, as they equal an OutcomeKind and
+    # are cheaper to create.
+    cells: dict[_KindTuple, OutcomeCell] = field(default_factory=dict)
     gaps: list[Gap] = field(default_factory=list)
 
-    def absorb(self, other: 'OpenBucket') -> None:
-        """Add the counts of a bucket that lies within this one."""
+    def merge(self, other: 'OpenBucket') -> None:
+        """Add the counts of a bucket whose interval lies within this one."""
         for kind, cell in other.cells.items():
             own = self.cells.get(kind)
             if own is None:
@@ -128,14 +131,14 @@
         self.gaps.extend(other.gaps)
 
     def seal(self, key: BucketKey) -> SealedBucket:
-        """Write the counts as a finished bucket."""
+        """Encode and compress the counts."""
         cells = list(self.cells.values())
         bucket = Bucket(key.width, key.sequence, cells, self.gaps)
         encoded = _encoder.encode(bucket)
-        return SealedBucket(key, compress(encoded, _COMPRESSION))
+        return SealedBucket(key, compress(encoded, _COMPRESSION_LEVEL))
 
     def __bool__(self) -> bool:
-        """Tell whether anything was counted."""
+        """Return whether anything was counted."""
         return bool(self.cells or self.gaps)
 
 
@@ -145,25 +148,25 @@
 
 
 def encode_document(document: TallyDocument) -> bytes:
-    """Write a document as it travels."""
+    """Encode a document for transfer."""
     return _encoder.encode(document)
 
 
 def decode_document(encoded: bytes) -> TallyDocument:
-    """Read a document; raise msgspec.DecodeError if it is none."""
+    """Decode a document; raise msgspec.DecodeError if it is invalid."""
     return _document_decoder.decode(encoded)
 
 
 def decode_bucket(sealed: SealedBucket) -> Bucket:
-    """Read one bucket of a document; raise msgspec.DecodeError."""
+    """Decode one bucket; raise msgspec.DecodeError if it is invalid."""
     try:
         return _bucket_decoder.decode(decompress(sealed.counts))
-    except ZlibError as fault:
-        raise DecodeError(str(fault)) from fault
+    except ZlibError as failure:
+        raise DecodeError(str(failure)) from failure
 
 
 def compute_step(latency: Seconds) -> int:
-    """Return the number of the step that `latency` falls in."""
+    """Return the index of the histogram step that contains `latency`."""
     units = int(latency * _UNITS_PER_SECOND)
     shift = max(0, units.bit_length() - _SUBSTEP_BITS - 1)
     return (shift << _SUBSTEP_BITS) + (units >> shift)
--- a/src/sedgeshunt/burn/copies.py
+++ b/src/sedgeshunt/burn/copies.py
@@ -1,4 +1,4 @@
-"""Keep copies of other proxies' tallies, as nothing is kept on disk."""
+"""Keep copies of other proxies' tallies, which are not stored on disk."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable
@@ -21,11 +21,11 @@
 )
 from sedgeshunt.identifiers import Monotonic, ProxyId, Seconds
 
-# Runs of other proxies that are remembered, those heard last.
+# Limit on runs of other proxies; the least recently updated are dropped.
 MAX_COPIES = 64
 
 RunId = tuple[ProxyId, str]
-_Place = tuple[RunId, BucketKey]
+_BucketId = tuple[RunId, BucketKey]
 
 
 @dataclass(slots=True)
@@ -36,27 +36,28 @@
 
 
 class TallyCopies:
-    """Keep what other proxies counted, also after they restarted."""
+    """Keep the counts of other proxies beyond their restarts."""
 
     def __init__(self) -> None:
         """Start without copies."""
         self._copies: dict[RunId, _Copy] = {}
 
     def find_missing(self, proxy: ProxyId, now: Monotonic) -> Seconds | None:
-        """Return how far back to ask `proxy`, None for all it has."""
-        heard = [
+        """Return how far back to ask `proxy`, or None for all counts."""
+        received = [
             copy.received_at
             for run, copy in self._copies.items()
             if run[0] == proxy
         ]
-        if not heard:
+        if not received:
             return None
-        # Buckets are chosen by their end, so those that were open at that
-        # time come once more; the slack covers the answer's time on its way.
-        return Seconds(now - max(heard) + FINE_WIDTH)
+        # Buckets are selected by their end, so those that were open at the
+        # last fetch are sent again. The margin of one fine bucket covers the
+        # transfer time of the reply.
+        return Seconds(now - max(received) + FINE_WIDTH)
 
     def add(self, encoded: bytes, now: Monotonic) -> None:
-        """Take in what a proxy answered; raise DecodeError if unreadable."""
+        """Add the reply of a proxy; raise DecodeError if it is invalid."""
         document = decode_document(encoded)
         run = (document.proxy, document.incarnation)
         known = self._copies.pop(run, None)
@@ -64,7 +65,7 @@
         if document.clock >= copy.document.clock:
             copy.document = document
             copy.received_at = Monotonic(now - document.waited)
-            copy.buckets |= _index(document)
+            copy.buckets |= _index_buckets(document)
         self._copies[run] = copy
         self._prune(now)
 
@@ -73,7 +74,7 @@
         now: Monotonic,
         proxies: Collection[ProxyId] = (),
     ) -> list[bytes]:
-        """Write the copies of `proxies` or all, with the time they waited."""
+        """Encode the copies of `proxies`, or all, with their ages."""
         return [
             encode_document(
                 TallyDocument(
@@ -104,37 +105,38 @@
 
 @dataclass(frozen=True, slots=True)
 class DatedBucket:
-    """Hold a bucket and how long ago it ended, below 0 if it is open."""
+    """Hold a bucket and how long ago it ended, negative if it is open."""
 
     bucket: Bucket
     ended_ago: Seconds
-    # What its proxy's clock shows now, to date the gaps within.
+    # Current time on its proxy's clock, to compute the ages of its gaps.
     clock: Seconds
 
     @property
     def key(self) -> BucketKey:
-        """Return the bucket's place on its proxy's clock."""
+        """Return the position of the bucket on the clock of its proxy."""
         return BucketKey(self.bucket.width, self.bucket.sequence)
 
 
 @dataclass(frozen=True, slots=True)
 class MergedTallies:
-    """Hold each bucket once, and who answered for itself."""
+    """Hold each bucket once, and the proxies that answered themselves."""
 
     buckets: tuple[DatedBucket, ...]
     answered: frozenset[ProxyId]
-    # Those that began to count lately, of which no earlier run is known.
+    # Proxies that started counting recently and of which no earlier run is
+    # known.
     without_past: frozenset[ProxyId]
 
 
 def merge_tallies(encoded: Iterable[bytes]) -> MergedTallies:
-    """Bring tallies and copies together, each bucket counted once."""
+    """Merge tallies and copies so that each bucket counts once."""
     documents = sorted(_decode_all(encoded), key=_get_clock)
     buckets: list[DatedBucket] = []
     answered = {each.proxy for each in documents if not each.is_copy}
     for document, sealed in _pick_latest(documents):
         try:
-            buckets.append(_date(document, sealed))
+            buckets.append(_decode_dated(document, sealed))
         except DecodeError:
             answered.discard(document.proxy)
     return MergedTallies(
@@ -147,9 +149,9 @@
 def _pick_latest(
     documents: Iterable[TallyDocument],
 ) -> Iterable[tuple[TallyDocument, SealedBucket]]:
-    # A bucket arrives from its proxy and from every peer with a copy. The
-    # one with the latest clock is the fullest, and it comes last.
-    latest: dict[_Place, tuple[TallyDocument, SealedBucket]] = {}
+    # A bucket may come from its proxy and from each peer with a copy. The
+    # version with the latest clock is the most complete, and is last in order.
+    latest: dict[_BucketId, tuple[TallyDocument, SealedBucket]] = {}
     for document in documents:
         run = (document.proxy, document.incarnation)
         for sealed in document.buckets:
@@ -173,25 +175,25 @@
 def _decode_all(encoded: Iterable[bytes]) -> list[TallyDocument]:
     documents = []
     for each in encoded:
-        # One that another release wrote in another form is left out, and
-        # its proxy is reported as missing.
+        # A document in the format of another release is skipped, and its
+        # proxy is reported as missing.
         with suppress(DecodeError):
             documents.append(decode_document(each))
     return documents
 
 
-def _date(document: TallyDocument, sealed: SealedBucket) -> DatedBucket:
+def _decode_dated(document: TallyDocument, sealed: SealedBucket) -> DatedBucket:
     clock = Seconds(document.clock + document.waited)
-    ended = (sealed.key.sequence + 1) * sealed.key.width
+    ends_at = (sealed.key.sequence + 1) * sealed.key.width
     bucket = decode_bucket(sealed)
-    return DatedBucket(bucket, Seconds(clock - ended), clock)
+    return DatedBucket(bucket, Seconds(clock - ends_at), clock)
 
 
 def _get_clock(document: TallyDocument) -> Monotonic:
     return document.clock
 
 
-def _index(document: TallyDocument) -> dict[BucketKey, SealedBucket]:
+def _index_buckets(document: TallyDocument) -> dict[BucketKey, SealedBucket]:
     return {sealed.key: sealed for sealed in document.buckets}
 
 
--- a/src/sedgeshunt/burn/exchange.py
+++ b/src/sedgeshunt/burn/exchange.py
@@ -1,4 +1,4 @@
-"""Hold copies of other proxies' counts, so that a restart loses few."""
+"""Copy the counts of other proxies, so that a restart loses few."""
 
 from asyncio import sleep, timeout
 from collections.abc import Callable, Iterable, Sequence
@@ -17,14 +17,14 @@
 from sedgeshunt.identifiers import ProxyId, Seconds
 from sedgeshunt.ports import Address, PeerConnector
 
-FETCH_EVERY = Seconds(60)
+FETCH_INTERVAL = Seconds(60)
 FETCH_TIMEOUT = Seconds(3)
-HELD_PROXIES = 2
+COPIES_PER_PROXY = 2
 _DIGEST_SIZE = 8
 
 
 class TallyExchange:
-    """Fetch the counts of two other proxies, and pass on what is held."""
+    """Fetch the counts of two other proxies, and serve the copies."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         list_proxies: Callable[[], Iterable[Proxy]],
         random: Random,
     ) -> None:
-        """Hold copies for the declared proxies; fetch none before run()."""
+        """Prepare to copy from declared proxies; run() starts fetching."""
         self._proxy = proxy
         self._tally = tally
         self._connector = connector
@@ -43,13 +43,13 @@
         self._copies = TallyCopies()
 
     async def run(self) -> None:
-        """Fetch what is missing every minute until cancelled."""
+        """Fetch missing counts about every minute until cancelled."""
         while True:
-            await sleep(FETCH_EVERY * self._random.uniform(0.75, 1.25))
+            await sleep(FETCH_INTERVAL * self._random.uniform(0.75, 1.25))
             await self.fetch()
 
     async def fetch(self) -> None:
-        """Fetch once what the held copies lack."""
+        """Fetch once the counts that the copies lack."""
         ring = _Ring(self._proxy, self._list_proxies())
         for held in ring.list_held():
             await self._fetch(held, ring)
@@ -59,7 +59,7 @@
         since: Seconds,
         proxies: Sequence[ProxyId] = (),
     ) -> list[bytes]:
-        """Return own counts and copies, those of `proxies` or all."""
+        """Return the own counts and the copies, for `proxies` or for all."""
         now = read_clock()
         copies = self._copies.encode(now, proxies)
         if proxies and self._proxy not in proxies:
@@ -72,9 +72,9 @@
         if since is not None:
             await self._fetch_from(held, name, since)
             return
-        # This proxy is new itself. Runs of the other one that have ended are
-        # with its second holder only, which may be the next to restart: a
-        # rolling restart would else lose them one by one.
+        # This proxy has just started. Counts of earlier runs of the other proxy
+        # exist only at its second holder, which may restart next. Without
+        # this copy, a rolling restart would lose them one by one.
         for source in (*ring.list_holders(held), held):
             missing = self._copies.find_missing(name, read_clock())
             await self._fetch_from(source, name, missing or COARSE_RETENTION)
@@ -86,42 +86,47 @@
         since: Seconds,
     ) -> None:
         address = Address(source.host, source.peer_port)
-        # Whoever does not answer, or in another release's form, is asked
-        # again in a minute for all that is missing by then.
+        # A proxy that does not answer, or answers in the format of another
+        # release, is asked again in a minute for all counts missing by then.
         with suppress(PeerUnreachable, TimeoutError, DecodeError):
-            async with timeout(FETCH_TIMEOUT), AsyncExitStack() as owned:
+            async with timeout(FETCH_TIMEOUT), AsyncExitStack() as resources:
                 connection = await self._connector.connect(address)
-                owned.push_async_callback(connection.close)
+                resources.push_async_callback(connection.close)
                 for copied in await connection.copy_tallies(since, (name,)):
                     self._copies.add(copied, read_clock())
 
 
 class _Ring:
-    """Order proxies so that each is held by two, and each holds two."""
+    """Order proxies so that each has two holders and copies two others."""
 
-    # Two chosen by rank for each holder would leave some held by nobody.
+    # If each proxy ranked the others by itself and copied the first two, some
+    # proxies would have no holder.
 
     def __init__(self, own: ProxyId, proxies: Iterable[Proxy]) -> None:
         others = [proxy for proxy in proxies if proxy.name != own]
-        self._ring = sorted(others, key=_place)
-        own_place = _hash(own)
-        before = [each for each in self._ring if _place(each) < own_place]
-        # Begin with the one that follows this proxy.
+        self._ring = sorted(others, key=_compute_position)
+        own_position = _hash(own)
+        before = [
+            each
+            for each in self._ring
+            if _compute_position(each) < own_position
+        ]
+        # Start with the proxy that follows this one.
         self._ring = self._ring[len(before) :] + before
 
     def list_held(self) -> list[Proxy]:
-        """List the next ones, whose counts this proxy holds."""
-        return self._ring[:HELD_PROXIES]
+        """List the following proxies, whose counts this proxy copies."""
+        return self._ring[:COPIES_PER_PROXY]
 
     def list_holders(self, held: Proxy) -> list[Proxy]:
-        """List who else holds the counts of `held`."""
-        place = self._ring.index(held)
-        if place:
-            return self._ring[:place]
+        """List the other proxies that hold the counts of `held`."""
+        index = self._ring.index(held)
+        if index:
+            return self._ring[:index]
         return [self._ring[-1]] if len(self._ring) > 1 else []
 
 
-def _place(proxy: Proxy) -> bytes:
+def _compute_position(proxy: Proxy) -> bytes:
     return _hash(proxy.name)
 
 
--- a/src/sedgeshunt/burn/gap_detector.py
+++ b/src/sedgeshunt/burn/gap_detector.py
@@ -1,4 +1,4 @@
-"""Notice the spans in which a group takes no writes."""
+"""Detect the periods in which a group accepts no writes."""
 
 from collections.abc import Callable
 
@@ -11,10 +11,10 @@
 
 
 class GapDetector:
-    """Measure from the last proof that writes are taken to the next."""
+    """Measure the periods in which a group is not known to accept writes."""
 
-    # A gap counts also if no write came meanwhile: the objective is about
-    # the group, and a group nobody wrote to was no better for it.
+    # A gap is recorded even if no write arrived during it, because the
+    # objective covers the availability of the group, not its traffic.
 
     def __init__(
         self,
@@ -22,30 +22,32 @@
         record_gap: GapRecorder,
         decisions: DecisionLog,
     ) -> None:
-        """Pass to `record_gap` each gap of the view's group that has ended."""
+        """Call `record_gap` for each gap of the view's group once it ends."""
         self._decisions = decisions
         self._view = view
         self._record_gap = record_gap
-        self._proven_at: Monotonic | None = None
-        self._is_open = False
+        self._accepted_at: Monotonic | None = None
+        self._is_gap_open = False
 
     def check(self) -> None:
-        """Look whether a gap began or ended; called often."""
+        """Check whether a gap has started or ended; to be called regularly."""
         now = read_clock()
-        if not self._takes_writes():
-            # Before the first proof the proxy starts; that is no gap.
-            if self._proven_at is not None and not self._is_open:
-                self._is_open = True
-                self._tell_refused()
+        if not self._accepts_writes():
+            # The time from the start of the proxy until the group is first
+            # seen to accept writes is not a gap.
+            if self._accepted_at is not None and not self._is_gap_open:
+                self._is_gap_open = True
+                self._record_refusal()
             return
-        if self._is_open and self._proven_at is not None:
-            # Our own pause is no gap of the group, though nothing was heard.
-            began_at = max(self._proven_at, self._view.pauses.resumed_at)
-            self._record_gap(self._view.group, Seconds(now - began_at), now)
-        self._is_open = False
-        self._proven_at = self._find_proof()
+        if self._is_gap_open and self._accepted_at is not None:
+            # A pause of this process is not a gap of the group, although no
+            # answers were received during it.
+            started_at = max(self._accepted_at, self._view.pauses.resumed_at)
+            self._record_gap(self._view.group, Seconds(now - started_at), now)
+        self._is_gap_open = False
+        self._accepted_at = self._find_last_acceptance()
 
-    def _tell_refused(self) -> None:
+    def _record_refusal(self) -> None:
         why = 'no majority of the targets answers'
         if self._view.reaches_majority():
             why = 'no primary is known'
@@ -57,20 +59,20 @@
             ),
         )
 
-    def _takes_writes(self) -> bool:
+    def _accepts_writes(self) -> bool:
         view = self._view
         return view.get_primary() is not None and view.reaches_majority()
 
-    def _find_proof(self) -> Monotonic | None:
-        # Silence is suspected only after a while, and writes fail before:
-        # the gap begins with the last answers of a primary and a majority.
+    def _find_last_acceptance(self) -> Monotonic | None:
+        # Writes fail before a missing answer raises suspicion, so a gap
+        # starts at the last answers of the primary and of a majority.
         states = self._view.states
-        heard = sorted(map(self._read_heard, states.list_members()))
+        answers = sorted(map(self._get_last_answer, states.list_members()))
         primary = self._view.get_primary()
-        if primary is None or len(heard) < states.majority:
-            return self._proven_at
-        return min(self._read_heard(primary), heard[-states.majority])
+        if primary is None or len(answers) < states.majority:
+            return self._accepted_at
+        return min(self._get_last_answer(primary), answers[-states.majority])
 
-    def _read_heard(self, target: TargetId) -> Monotonic:
-        heard_at = self._view.states.find_liveness(target).last_answer_at
-        return Monotonic(0) if heard_at is None else heard_at
+    def _get_last_answer(self, target: TargetId) -> Monotonic:
+        answered_at = self._view.states.find_liveness(target).last_answer_at
+        return Monotonic(0) if answered_at is None else answered_at
--- a/src/sedgeshunt/burn/gaps.py
+++ b/src/sedgeshunt/burn/gaps.py
@@ -1,4 +1,4 @@
-"""Report the spans in which groups took no writes."""
+"""Report the periods in which groups accepted no writes."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatedGap:
-    """Hold one gap and how long ago it ended."""
+    """Hold the length of a gap and how long ago it ended."""
 
     seconds: Seconds
     ended_ago: Seconds
@@ -29,7 +29,7 @@
 
     @property
     def longest(self) -> Seconds:
-        """Return the longest gap."""
+        """Return the length of the longest gap."""
         return max(gap.seconds for gap in self.gaps)
 
     def count_over(self, objective: Objective) -> int:
@@ -42,7 +42,7 @@
     buckets: Iterable[DatedBucket],
     only: GroupId | None = None,
 ) -> tuple[GapReport, ...]:
-    """List each group's gaps, those seen by several proxies once."""
+    """List the gaps of each group, merging reports of several proxies."""
     by_group: defaultdict[GroupId, list[DatedGap]] = defaultdict(list)
     for dated in buckets:
         if dated.bucket.width != COARSE_WIDTH:
@@ -51,30 +51,30 @@
             ended_ago = Seconds(dated.clock - gap.ended_at)
             by_group[gap.group].append(DatedGap(gap.seconds, ended_ago))
     return tuple(
-        GapReport(group, _join(by_group[group]))
+        GapReport(group, _merge_overlapping(by_group[group]))
         for group in sorted(by_group)
         if only in {None, group}
     )
 
 
-def _join(gaps: list[DatedGap]) -> tuple[DatedGap, ...]:
-    joined: list[DatedGap] = []
+def _merge_overlapping(gaps: list[DatedGap]) -> tuple[DatedGap, ...]:
+    merged: list[DatedGap] = []
     for gap in sorted(gaps, key=_get_ended_ago):
-        last = joined[-1] if joined else None
+        last = merged[-1] if merged else None
         if last is None or gap.ended_ago > last.ended_ago + last.seconds:
-            joined.append(gap)
+            merged.append(gap)
             continue
-        # Proxies notice the same failover at slightly different moments;
-        # together they show from when to when no write was taken.
+        # Proxies detect the same failover at slightly different times; the
+        # union of their gaps is the period in which no write was accepted.
         start = max(
             last.ended_ago + last.seconds,
             gap.ended_ago + gap.seconds,
         )
-        joined[-1] = DatedGap(
+        merged[-1] = DatedGap(
             Seconds(start - last.ended_ago),
             last.ended_ago,
         )
-    return tuple(joined)
+    return tuple(merged)
 
 
 def _get_ended_ago(gap: DatedGap) -> Seconds:
--- a/src/sedgeshunt/burn/objectives.py
+++ b/src/sedgeshunt/burn/objectives.py
@@ -1,4 +1,4 @@
-"""Judge counts by service-level objectives."""
+"""Evaluate counts against service-level objectives."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -20,21 +20,22 @@
 HOUR = 3600
 DAY = 86400
 
-# Outcomes that bring the caller an answer, its own fault told included.
+# Outcomes in which the caller gets an answer, which may be an error of its
+# own statement.
 ANSWERED = frozenset(('done', 'rejected'))
 LATE = 'late'
-# Refusals that only the caller can mend; they spend no budget.
+# Causes that only the caller can correct; they spend no error budget.
 CALLER_CAUSES = frozenset((Cause.ATTRIBUTE.value,))
 
 
 class BurnState(Enum):
-    """Name how an objective stands, the worst first."""
+    """List the states of an objective, the worst first."""
 
     BURNS_FAST = 'burns-fast'
     BURNS = 'burns'
     BURNS_SLOWLY = 'burns-slowly'
     SPENT = 'spent'
-    # Some proxy could not be asked, so nobody can say that all is well.
+    # A proxy did not answer, and its missing counts may have spent the budget.
     UNKNOWN = 'unknown'
     NO_TRAFFIC = 'no-traffic'
     MET = 'met'
@@ -42,9 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowPair:
-    """Alert when the burn rate is high in a long and in a short window."""
+    """Define a state by the burn rate in a long and in a short window."""
 
-    # The long window shows that it matters, the short one that it goes on.
+    # The long window shows that the loss is significant, the short one that
+    # it still continues.
     # Source: The Site Reliability Workbook, chapter 5.
     state: BurnState
     long: Seconds
@@ -67,26 +69,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Spending:
-    """Hold how many requests counted and how many failed the objective."""
+    """Count all requests and those that failed the objective."""
 
     total: int = 0
     bad: int = 0
 
     def compute_burn_rate(self, objective: Objective) -> float:
-        """Return the share that failed over the share that may fail."""
+        """Return the share that failed divided by the share that may fail."""
         if not self.total:
             return 0
-        # An objective of 100 % has no budget: any failure burns it all.
+        # An objective of 100 % has no budget; one failure spends all of it.
         allowed = max(1 - objective.answered_share, 1 / self.total)
         return self.bad / self.total / allowed
 
     def __add__(self, other: 'Spending') -> 'Spending':
-        """Add the counts up."""
+        """Return the sum of both counts."""
         return Spending(self.total + other.total, self.bad + other.bad)
 
 
 def count_spending(objective: Objective, bucket: Bucket) -> Spending:
-    """Count one bucket's requests of the objective's class."""
+    """Count the requests of the objective's traffic class in a bucket."""
     first_late = _find_first_late_step(objective)
     total = 0
     bad = 0
@@ -101,13 +103,15 @@
     objective: Objective,
     buckets: Iterable[Bucket],
 ) -> Counter[OutcomeKind]:
-    """Count what spent the budget; late answers are an outcome of their own."""
+    """Count failed requests by kind; late answers have their own outcome."""
     first_late = _find_first_late_step(objective)
     causes: Counter[OutcomeKind] = Counter()
     for bucket in buckets:
         for cell in bucket.cells:
             if _is_counted(objective, cell.kind):
-                causes[_name_cause(cell.kind)] += _count_bad(cell, first_late)
+                causes[_classify_failure(cell.kind)] += _count_bad(
+                    cell, first_late
+                )
     return +causes
 
 
@@ -117,7 +121,7 @@
     return kind.cause not in CALLER_CAUSES
 
 
-def _name_cause(kind: OutcomeKind) -> OutcomeKind:
+def _classify_failure(kind: OutcomeKind) -> OutcomeKind:
     if kind.outcome not in ANSWERED:
         return kind
     return kind._replace(outcome=LATE, cause='')
@@ -132,6 +136,6 @@
 
 
 def _find_first_late_step(objective: Objective) -> int:
-    # A step that reaches beyond the objective counts as late as a whole: a
-    # report may look an eighth too strict, never too good.
+    # A histogram step that contains the limit counts as late as a whole, so
+    # that a report may be up to an eighth too strict but never too lenient.
     return compute_step(Seconds(objective.within_ms / MILLISECONDS))
--- a/src/sedgeshunt/burn/plot.py
+++ b/src/sedgeshunt/burn/plot.py
@@ -1,4 +1,4 @@
-"""Draw a burn report as a picture."""
+"""Draw a burn report as an image."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -12,23 +12,23 @@
 
 SIZE_INCHES = (10, 7)
 DOTS_PER_INCH = 100
-SMALL_TEXT = 8
-LOWEST_BURN = 0.01
+SMALL_FONT_POINTS = 8
+MIN_PLOTTED_RATE = 0.01
 PERCENT = 100
 
 
 def draw_report(report: BurnReport, path: Path) -> None:
-    """Write the picture; the suffix of `path` chooses PNG or SVG."""
+    """Write an image; the suffix of `path` selects PNG or SVG."""
     figure = Figure(figsize=SIZE_INCHES, layout='constrained')
     FigureCanvasAgg(figure)
     upper, lower = figure.subplots(2, 1)
-    figure.suptitle(_title(report))
+    figure.suptitle(_format_title(report))
     _draw_burn(upper, report.objectives)
     _draw_budgets(lower, report.objectives)
     figure.savefig(path, dpi=DOTS_PER_INCH)
 
 
-def _title(report: BurnReport) -> str:
+def _format_title(report: BurnReport) -> str:
     if not report.missing:
         return f'Service-level burn of {len(report.answered)} proxies'
     missing = ', '.join(report.missing)
@@ -39,7 +39,10 @@
     for burn in objectives:
         hours = [-point.ago / HOUR for point in burn.series]
         rates = [
-            max(LOWEST_BURN, point.spending.compute_burn_rate(burn.objective))
+            max(
+                MIN_PLOTTED_RATE,
+                point.spending.compute_burn_rate(burn.objective),
+            )
             for point in burn.series
         ]
         axes.plot(hours, rates, label=burn.objective.name, drawstyle='steps')
@@ -48,7 +51,7 @@
         axes.annotate(
             pair.state.value,
             (0, pair.threshold),
-            fontsize=SMALL_TEXT,
+            fontsize=SMALL_FONT_POINTS,
             ha='right',
             va='bottom',
         )
@@ -56,7 +59,7 @@
     axes.set_xlabel('hours ago')
     axes.set_ylabel('burn rate (1 = budget)')
     if objectives:
-        axes.legend(loc='upper left', fontsize=SMALL_TEXT)
+        axes.legend(loc='upper left', fontsize=SMALL_FONT_POINTS)
 
 
 def _draw_budgets(axes: Axes, objectives: Sequence[ObjectiveBurn]) -> None:
@@ -65,11 +68,11 @@
     ]
     left = [PERCENT * max(0, burn.budget_left) for burn in objectives]
     axes.barh(names, left)
-    for place, burn in enumerate(objectives):
+    for row, burn in enumerate(objectives):
         axes.annotate(
             _describe_causes(burn),
-            (1, place),
-            fontsize=SMALL_TEXT,
+            (1, row),
+            fontsize=SMALL_FONT_POINTS,
             va='center',
         )
     axes.set_xlim(0, PERCENT)
--- a/src/sedgeshunt/burn/report.py
+++ b/src/sedgeshunt/burn/report.py
@@ -1,4 +1,4 @@
-"""Report how the error budgets of all objectives burn."""
+"""Report the burn rates of the error budgets of all objectives."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable, Sequence
@@ -23,22 +23,22 @@
 from sedgeshunt.configuration.objects import Objective
 from sedgeshunt.identifiers import GroupId, ProxyId, Seconds
 
-MOST_CAUSES = 10
+MAX_CAUSES = 10
 
 
 @dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """Hold what was spent in one window that ends now."""
+    """Hold the spending of one window that ends now."""
 
     window: Seconds
     spending: Spending
-    # 1 spends the budget exactly; 10 spends it ten times as fast.
+    # A rate of 1 spends exactly the budget, 10 spends it ten times as fast.
     burn_rate: float
 
 
 @dataclass(frozen=True, slots=True)
 class CauseCount:
-    """Hold one cause of spending and its share of the budget's window."""
+    """Count the failures of one kind in the retained coarse buckets."""
 
     kind: OutcomeKind
     count: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeriesPoint:
-    """Hold what was spent in one span of the past."""
+    """Hold the spending of one interval in the past."""
 
     ago: Seconds
     spending: Spending
@@ -54,28 +54,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveBurn:
-    """Hold how one objective stands."""
+    """Hold the state of one objective."""
 
     objective: Objective
     state: BurnState
-    # Share of the budget left in the longest window; below 0 overspent.
+    # Share of the budget left in the longest window, negative if overspent.
     budget_left: float
     windows: tuple[WindowBurn, ...]
     causes: tuple[CauseCount, ...]
     series: tuple[SeriesPoint, ...]
-    # Gaps without writes that were longer than the objective allows.
+    # Number of gaps without writes that exceed the objective.
     gaps_over: int
 
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """Hold how all objectives stand, and whose counts are missing."""
+    """Hold the state of all objectives and the proxies without counts."""
 
     objectives: tuple[ObjectiveBurn, ...]
     gaps: tuple[GapReport, ...]
     answered: tuple[ProxyId, ...]
     missing: tuple[ProxyId, ...]
-    # New, or restarted while no peer held its counts: those are not here.
+    # Proxies that are new, or that restarted while no peer had a copy of
+    # their counts, which are lost in that case.
     without_past: tuple[ProxyId, ...]
 
 
@@ -85,7 +86,7 @@
     expected: Collection[ProxyId],
     group: GroupId | None = None,
 ) -> BurnReport:
-    """Report on the `expected` proxies, with the gaps of `group` or all."""
+    """Report on the `expected` proxies and the gaps of `group` or all."""
     merged = merge_tallies(tallies)
     missing = tuple(sorted(set(expected) - merged.answered))
     gaps = list_gaps(merged.buckets, group)
@@ -118,13 +119,13 @@
         for dated in merged.buckets
     ]
     windows = tuple(
-        _measure_window(objective, spendings, window)
+        _compute_window(objective, spendings, window)
         for window in _list_windows()
     )
     budget_left = 1 - windows[-1].burn_rate
     return ObjectiveBurn(
         objective=objective,
-        state=_judge(windows, budget_left, is_complete=is_complete),
+        state=_determine_state(windows, budget_left, is_complete=is_complete),
         budget_left=budget_left,
         windows=windows,
         causes=_list_causes(objective, merged.buckets),
@@ -139,12 +140,12 @@
     return sorted(windows | {BUDGET_WINDOW})
 
 
-def _measure_window(
+def _compute_window(
     objective: Objective,
     spendings: Iterable[tuple[DatedBucket, Spending]],
     window: Seconds,
 ) -> WindowBurn:
-    # Both widths hold the same requests; a window reads one of them only.
+    # Buckets of both widths count the same requests, so use one width only.
     width = FINE_WIDTH if window <= FINE_RETENTION else COARSE_WIDTH
     spent = Spending()
     for dated, spending in spendings:
@@ -154,7 +155,7 @@
     return WindowBurn(window, spent, spent.compute_burn_rate(objective))
 
 
-def _judge(
+def _determine_state(
     windows: Sequence[WindowBurn],
     budget_left: float,
     *,
@@ -180,20 +181,20 @@
     coarse = (
         dated.bucket for dated in buckets if dated.bucket.width == COARSE_WIDTH
     )
-    causes = count_causes(objective, coarse).most_common(MOST_CAUSES)
+    causes = count_causes(objective, coarse).most_common(MAX_CAUSES)
     return tuple(CauseCount(kind, count) for kind, count in causes)
 
 
 def _list_series(
     spendings: Iterable[tuple[DatedBucket, Spending]],
 ) -> tuple[SeriesPoint, ...]:
-    # Clocks of different proxies are not in step; their buckets are put
-    # into common spans by how long ago they ended.
-    spans: defaultdict[int, Spending] = defaultdict(Spending)
+    # Bucket boundaries differ between proxies, as their clocks do. Buckets
+    # are therefore aligned by how long ago they ended.
+    intervals: defaultdict[int, Spending] = defaultdict(Spending)
     for dated, spending in spendings:
         if dated.bucket.width == COARSE_WIDTH:
-            spans[max(0, int(dated.ended_ago // COARSE_WIDTH))] += spending
+            intervals[max(0, int(dated.ended_ago // COARSE_WIDTH))] += spending
     return tuple(
-        SeriesPoint(Seconds(span * COARSE_WIDTH), spans[span])
-        for span in sorted(spans, reverse=True)
+        SeriesPoint(Seconds(interval * COARSE_WIDTH), intervals[interval])
+        for interval in sorted(intervals, reverse=True)
     )
--- a/src/sedgeshunt/burn/tally.py
+++ b/src/sedgeshunt/burn/tally.py
@@ -1,4 +1,4 @@
-"""Count the outcomes of one proxy's statements over time."""
+"""Count the outcomes of the statements of one proxy over time."""
 
 from collections import deque
 from secrets import token_hex
@@ -35,21 +35,21 @@
 
 
 class Tally:
-    """Keep counts in memory: ten-second ones for an hour, others for days."""
+    """Keep fine buckets for an hour and coarse ones for days, in memory."""
 
     def __init__(self, proxy: str, incarnation: str | None = None) -> None:
-        """Start empty; each run of a proxy has an incarnation of its own."""
+        """Start empty; each run of a proxy has its own incarnation."""
         self._proxy = ProxyId(proxy)
         self._incarnation = incarnation or token_hex(_INCARNATION_BYTES)
         self._fine = OpenBucket()
         self._coarse = OpenBucket()
         self._fine_key = BucketKey(FINE_WIDTH, 0)
         self._coarse_key = BucketKey(COARSE_WIDTH, 0)
-        # The first count moves all to its own time.
+        # 0 makes the first count replace the initial bucket keys.
         self._ends_at: float = 0
         self._started_at: Monotonic | None = None
-        # Kept encoded: as objects, three days of counts take many times the
-        # memory of a small instance's share for them.
+        # Stored encoded, as three days of decoded counts take many times the
+        # memory that a small instance can spare for them.
         self._sealed: dict[int, deque[SealedBucket]] = {
             FINE_WIDTH: deque(),
             COARSE_WIDTH: deque(),
@@ -64,12 +64,12 @@
         latency: Seconds,
         now: Monotonic,
     ) -> None:
-        """Count one outcome; called for every statement."""
+        """Count the outcome of one statement."""
         if now >= self._ends_at:
-            self._roll(now)
+            self._close_ended_buckets(now)
         if cause in CALLER_CAUSES:
-            # The class itself may be wrong: one made up for each request
-            # would fill the memory with counts of one.
+            # The traffic class may be the invalid attribute; a different one
+            # in each request would use up memory with counts of one.
             traffic_class = OTHER_CLASS
         kind = (traffic_class, outcome, cause, TargetId(target))
         cell = self._fine.cells.get(kind)
@@ -86,17 +86,17 @@
         seconds: Seconds,
         now: Monotonic,
     ) -> None:
-        """Take down a span without writes that has just ended."""
+        """Record a period without writes that has just ended."""
         if now >= self._ends_at:
-            self._roll(now)
+            self._close_ended_buckets(now)
         if len(self._fine.gaps) < MAX_KINDS:
             self._fine.gaps.append(Gap(group, seconds, now))
 
     def encode(self, now: Monotonic, since: Seconds | None = None) -> bytes:
-        """Write the counts, only those of the last `since` if it is given."""
-        self._roll(now)
-        reach = COARSE_RETENTION if since is None else since
-        oldest = now - reach
+        """Encode the counts, limited to the last `since` if given."""
+        self._close_ended_buckets(now)
+        span = COARSE_RETENTION if since is None else since
+        oldest = now - span
         buckets = [
             sealed
             for kept in self._sealed.values()
@@ -122,8 +122,8 @@
 
     def _encode_open(self) -> list[SealedBucket]:
         coarse = OpenBucket()
-        coarse.absorb(self._coarse)
-        coarse.absorb(self._fine)
+        coarse.merge(self._coarse)
+        coarse.merge(self._fine)
         if not coarse:
             return []
         return [
@@ -131,36 +131,36 @@
             coarse.seal(self._coarse_key),
         ]
 
-    def _roll(self, now: Monotonic) -> None:
+    def _close_ended_buckets(self, now: Monotonic) -> None:
         if now < self._ends_at:
             return
         if self._started_at is None:
             self._started_at = now
         self._seal(self._fine_key, self._fine, now)
-        self._coarse.absorb(self._fine)
+        self._coarse.merge(self._fine)
         self._fine = OpenBucket()
-        self._fine_key = _place(FINE_WIDTH, now)
+        self._fine_key = _find_key(FINE_WIDTH, now)
         self._ends_at = _compute_end(self._fine_key)
         if now >= _compute_end(self._coarse_key):
             self._seal(self._coarse_key, self._coarse, now)
             self._coarse = OpenBucket()
-            self._coarse_key = _place(COARSE_WIDTH, now)
+            self._coarse_key = _find_key(COARSE_WIDTH, now)
 
     def _seal(
         self,
         key: BucketKey,
-        counted: OpenBucket,
+        bucket: OpenBucket,
         now: Monotonic,
     ) -> None:
         kept = self._sealed[key.width]
-        if counted:
-            kept.append(counted.seal(key))
+        if bucket:
+            kept.append(bucket.seal(key))
         oldest = now - RETENTION_BY_WIDTH[key.width]
         while kept and _compute_end(kept[0].key) < oldest:
             kept.popleft()
 
 
-def _place(width: int, now: Monotonic) -> BucketKey:
+def _find_key(width: int, now: Monotonic) -> BucketKey:
     return BucketKey(width, int(now // width))
 
 
