--- a/tests/features/steps/burn_fleet_steps.py
+++ b/tests/features/steps/burn_fleet_steps.py
@@ -16,12 +16,12 @@
 from tests.standins.platform import MemoryKeyValue
 from tests.virtual_time import make_loop
 
-DESK = Place('desk', 'office')
+OPERATOR_PLACE = Place('desk', 'office')
 INSERT = "INSERT INTO turns (ref) VALUES ('a')"
 
 
-def run(context: Any, work: Coroutine[Any, Any, Any]) -> Any:
-    return context.runner.run(work)
+def run(context: Any, coroutine: Coroutine[Any, Any, Any]) -> Any:
+    return context.runner.run(coroutine)
 
 
 @given('a running fleet with an objective for "{name}"')
@@ -46,12 +46,12 @@
 
 
 @when('{count:d} writes are made at "{proxy}" and {seconds:d} s go by')
-def write_and_wait(context: Any, seconds: int, **made: Any) -> None:
-    run(context, write(context.fleet, **made))
+def write_and_wait(context: Any, seconds: int, **batch: Any) -> None:
+    run(context, write(context.fleet, **batch))
     run(context, sleep(seconds))
 
 
-@when('the primary dies and {count:d} writes are made at "{proxy}"')
+@when('the primary fails and {count:d} writes are made at "{proxy}"')
 def fail_over(context: Any, count: int, proxy: str) -> None:
     async def act(fleet: Deployment) -> None:
         group = fleet.groups[GroupId('lease')]
@@ -81,16 +81,16 @@
 @then('"{command}" ends with code {code:d}')
 def invoke(context: Any, command: str, code: int) -> None:
     runner = CommandRunner(
-        MemoryKeyValue(context.fleet.platform, DESK),
-        MemoryPeerConnector(context.fleet._peers, DESK),
+        MemoryKeyValue(context.fleet.platform, OPERATOR_PLACE),
+        MemoryPeerConnector(context.fleet._peers, OPERATOR_PLACE),
     )
-    context.ended = run(context, runner.invoke(command.split()))
-    assert context.ended.exit_code == code, context.ended
+    context.result = run(context, runner.invoke(command.split()))
+    assert context.result.exit_code == code, context.result
 
 
 @then('it shows {total:d} requests, an earlier run of "{names}"')
 def check_shown(context: Any, total: int, names: str) -> None:
-    report = decode(context.ended.stdout)
+    report = decode(context.result.stdout)
     window = report['objectives'][0]['windows'][-1]
     assert (window['total'], window['bad']) == (total, 0), window
     past = set(report['answered']) - set(report['without_past'])
@@ -99,12 +99,12 @@
 
 @then('a gap of "{group}" between {low:g} and {high:g} s')
 def check_gap(context: Any, group: str, low: float, high: float) -> None:
-    gaps = decode(context.ended.stdout)['gaps']
+    gaps = decode(context.result.stdout)['gaps']
     assert [gap['group'] for gap in gaps] == [group], gaps
     assert low < gaps[0]['seconds'] < high, gaps
 
 
-@then('it tells "{words}"')
-def check_told(context: Any, words: str) -> None:
-    text = context.ended.stdout + context.ended.stderr
+@then('the output has "{words}"')
+def check_output(context: Any, words: str) -> None:
+    text = context.result.stdout + context.result.stderr
     assert all(word in text for word in words.split(', ')), text
--- a/tests/features/steps/burn_steps.py
+++ b/tests/features/steps/burn_steps.py
@@ -24,8 +24,8 @@
 SIGNATURES = {'png': b'\x89PNG', 'svg': b'<?xml'}
 
 
-class BurnBench:
-    """Hold proxies whose clocks differ, and their copies of each other."""
+class SimulatedProxies:
+    """Hold tallies of proxies with different clocks, and their copies."""
 
     def __init__(self, objective: Objective) -> None:
         self.objective = objective
@@ -37,7 +37,7 @@
     def start(self, name: str) -> None:
         self.tallies[name] = Tally(name)
         self.copies[name] = TallyCopies()
-        # Each run of a process has a clock with an origin of its own.
+        # The origin of the clock differs between runs of a process.
         self.offsets[name] = 1000 * len(self.offsets) + 77 - self.now / 2
 
     def read_clock(self, name: str) -> Monotonic:
@@ -52,7 +52,7 @@
     'proxies whose objective is {share:d} % of "{name}" within {within:d} ms'
 )
 def start_proxies(context: Any, share: int, name: str, within: int) -> None:
-    context.bench = BurnBench(
+    context.proxies = SimulatedProxies(
         Objective(
             name,
             TrafficClass(name),
@@ -60,8 +60,8 @@
             within_ms=within,
         ),
     )
-    context.bench.start('p1')
-    context.bench.start('p2')
+    context.proxies.start('p1')
+    context.proxies.start('p2')
 
 
 @when('"{proxy}" counts {count:d} "{what}" of "{name}" in {spent:d} ms')
@@ -75,24 +75,26 @@
 ) -> None:
     ended, _, target = what.partition(' at ')
     outcome, _, cause = ended.partition(' ')
-    now = context.bench.read_clock(proxy)
-    noted = (name, outcome, cause, target, Seconds(spent / 1000), now)
+    now = context.proxies.read_clock(proxy)
+    outcome_args = (name, outcome, cause, target, Seconds(spent / 1000), now)
     for _ in range(count):
-        context.bench.tallies[proxy].record_outcome(*noted)
+        context.proxies.tallies[proxy].record_outcome(*outcome_args)
 
 
 @when(
     '"{proxy}" counts in each of {hours:d} hours {number:d} "{what}" '
     'of "{name}" in {spent:d} ms',
 )
-def count_hourly(context: Any, hours: int, number: int, **noted: Any) -> None:
+def count_hourly(
+    context: Any, hours: int, number: int, **outcome_args: Any
+) -> None:
     for _ in range(hours):
-        context.bench.now += HOUR
-        count(context, count=number, **noted)
+        context.proxies.now += HOUR
+        count(context, count=number, **outcome_args)
 
 
-@when('"{proxy}" counts {number:d} made-up classes and targets')
-def count_many(context: Any, proxy: str, number: int) -> None:
+@when('"{proxy}" counts {number:d} distinct classes and targets')
+def count_distinct(context: Any, proxy: str, number: int) -> None:
     for each in range(number):
         count(context, proxy, 1, 'not-run attribute', f'class-{each}', 0)
         count(context, proxy, 1, f'done at target-{each}', 'status', 0)
@@ -101,37 +103,37 @@
 @when('"{owner}" fetches the counts of "{proxy}"')
 @when('"{owner}" fetches the counts of "{proxy}" after {seconds:d} s')
 def fetch(context: Any, owner: str, proxy: str, seconds: int = 0) -> None:
-    bench = context.bench
-    bench.now += seconds
-    now = bench.read_clock(owner)
-    since = bench.copies[owner].find_missing(ProxyId(proxy), now)
-    encoded = bench.tallies[proxy].encode(bench.read_clock(proxy), since)
-    bench.copies[owner].add(encoded, now)
+    proxies = context.proxies
+    proxies.now += seconds
+    now = proxies.read_clock(owner)
+    since = proxies.copies[owner].find_missing(ProxyId(proxy), now)
+    encoded = proxies.tallies[proxy].encode(proxies.read_clock(proxy), since)
+    proxies.copies[owner].add(encoded, now)
 
 
 @when('"{proxy}" is replaced by a new run')
 def replace_proxy(context: Any, proxy: str) -> None:
-    context.bench.start(proxy)
+    context.proxies.start(proxy)
 
 
-@when('these spans without writes are seen')
-def see_gaps(context: Any) -> None:
+@when('these periods without writes are recorded')
+def record_gaps(context: Any) -> None:
     for row in context.table:
-        context.bench.now = float(row['ended at'])
-        context.bench.tallies[row['proxy']].record_gap(
+        context.proxies.now = float(row['ended at'])
+        context.proxies.tallies[row['proxy']].record_gap(
             GroupId('songbook'),
             Seconds(float(row['seconds'])),
-            context.bench.read_clock(row['proxy']),
+            context.proxies.read_clock(row['proxy']),
         )
 
 
 @then('the burn report of "{names}" is "{state}"')
 def check_state(context: Any, names: str, state: str) -> None:
-    bench = context.bench
+    proxies = context.proxies
     expected = [ProxyId(name) for name in names.split(', ')]
-    running = [name for name in expected if name in bench.tallies]
-    documents = chain.from_iterable(map(bench.encode, running))
-    context.report = build_report(documents, [bench.objective], expected)
+    running = [name for name in expected if name in proxies.tallies]
+    documents = chain.from_iterable(map(proxies.encode, running))
+    context.report = build_report(documents, [proxies.objective], expected)
     context.burn = context.report.objectives[0]
     assert context.burn.state.value == state, context.report
 
@@ -172,7 +174,7 @@
 
 @then('the counts of "{proxy}" take less than {size:d} bytes')
 def check_size(context: Any, proxy: str, size: int) -> None:
-    assert len(context.bench.encode(proxy)[0]) < size
+    assert len(context.proxies.encode(proxy)[0]) < size
 
 
 @then('it is drawn as PNG and SVG')
