--- a/src/sedgeshunt/node.py
+++ b/src/sedgeshunt/node.py
@@ -111,7 +111,7 @@
             await sleep(SEND_EVERY)
             self._rotation.note_state(is_ready=node.is_ready())
             if node.isolation.is_isolated() and self._rotation.is_removed():
-                callers.send_idle_away()
+                callers.end_idle_sessions()
 
     def _open_node(self, owned: AsyncExitStack) -> NodeService:
         settings = self._settings
@@ -187,7 +187,9 @@
             # The balancer sends callers here until it has asked twice in vain.
             await sleep(min(MAX_REMOVAL_TIME, drain))
             callers.close()
-            await callers.send_away(Seconds(max(0, drain - MAX_REMOVAL_TIME)))
+            await callers.end_sessions(
+                Seconds(max(0, drain - MAX_REMOVAL_TIME)),
+            )
             await callers.abort(Seconds(grace * LAST_SHARE))
         await node.leave()
 
--- a/src/sedgeshunt/platform/callers.py
+++ b/src/sedgeshunt/platform/callers.py
@@ -26,7 +26,7 @@
     TrafficClass,
 )
 from sedgeshunt.platform.lines import (
-    LONGEST_MESSAGE,
+    MAX_MESSAGE_BYTES,
     MessageMalformed,
     MessageTooLong,
     make_line,
@@ -35,7 +35,7 @@
     split_line,
 )
 from sedgeshunt.platform.refusals import name_refusal
-from sedgeshunt.platform.statements import read_statement
+from sedgeshunt.platform.statements import parse_statement
 from sedgeshunt.ports import Address
 from sedgeshunt.requests.outcome import Answer, Refusal, Rejected
 from sedgeshunt.statements.session import StatementSession
@@ -85,7 +85,7 @@
             self._serve,
             self.address.host,
             self.address.port,
-            limit=LONGEST_MESSAGE,
+            limit=MAX_MESSAGE_BYTES,
             backlog=512,
         )
 
@@ -98,17 +98,17 @@
         if self._server is not None:
             self._server.close()
 
-    async def send_away(self, patience: Seconds) -> None:
+    async def end_sessions(self, patience: Seconds) -> None:
         """End each session once nothing is under way, within `patience`."""
         for conversation in self._conversations.values():
             conversation.stop()
         if self._conversations:
             await wait(tuple(self._conversations), timeout=patience)
 
-    def send_idle_away(self) -> None:
+    def end_idle_sessions(self) -> None:
         """End the sessions with nothing under way; others may follow them."""
         for conversation in tuple(self._conversations.values()):
-            conversation.send_idle_away()
+            conversation.close_if_idle()
 
     async def abort(self, patience: Seconds) -> None:
         """Undo the transactions that are left; let statements finish."""
@@ -181,9 +181,9 @@
     def stop(self) -> None:
         """End the session as soon as nothing is under way."""
         self._is_stopping = True
-        self.send_idle_away()
+        self.close_if_idle()
 
-    def send_idle_away(self) -> None:
+    def close_if_idle(self) -> None:
         """End the session if nothing is under way."""
         if self._is_waiting and not self._is_open():
             self._send_away()
@@ -252,7 +252,7 @@
         line = await read_line(self._reader)
         if line is None:
             return None
-        opened = await self._open_session(*read_start(line))
+        opened = await self._open_session(*parse_start(line))
         if isinstance(opened, Err):
             self._say_error(*name_refusal(opened.err_value))
             return None
@@ -269,7 +269,7 @@
         name, text = split_line(query, 1)
         messages: list[tuple[str, ...]]
         try:
-            statement = read_statement(StatementId(name), text)
+            statement = parse_statement(StatementId(name), text)
         except MessageMalformed as malformed:
             messages = [('ERROR', 'MALFORMED', str(malformed))]
         else:
@@ -289,7 +289,7 @@
             self._writer.write(make_line('ERROR', code, reason))
 
 
-def read_start(line: str) -> tuple[TrafficClass, KeyDigest]:
+def parse_start(line: str) -> tuple[TrafficClass, KeyDigest]:
     """Return the database and the key; raise MessageMalformed."""
     word, database, key = split_line(line, 2)
     if word != 'START' or not database:
--- a/src/sedgeshunt/platform/lines.py
+++ b/src/sedgeshunt/platform/lines.py
@@ -10,7 +10,7 @@
 from sedgeshunt.exceptions import SedgeshuntError
 
 # Longest message, in bytes; source: the platform's page on the wire.
-LONGEST_MESSAGE = 1024 * 1024
+MAX_MESSAGE_BYTES = 1024 * 1024
 LINE_END = b'\r\n'
 BLANK = ' '
 
@@ -21,7 +21,7 @@
     def format_message(self) -> str:
         """Name the limit."""
         return (
-            f'a message is longer than {LONGEST_MESSAGE} bytes; '
+            f'a message is longer than {MAX_MESSAGE_BYTES} bytes; '
             + 'split it into smaller ones'
         )
 
--- a/src/sedgeshunt/platform/statements.py
+++ b/src/sedgeshunt/platform/statements.py
@@ -32,7 +32,7 @@
 }
 
 
-def read_statement(statement: StatementId, text: str) -> Statement:
+def parse_statement(statement: StatementId, text: str) -> Statement:
     """Take a caller's text apart; raise MessageMalformed."""
     word, rest = split_line(text, 1)
     plain = _PLAIN_KINDS.get(word)
--- a/src/sedgeshunt/platform/targets.py
+++ b/src/sedgeshunt/platform/targets.py
@@ -32,7 +32,7 @@
 )
 from sedgeshunt.platform.lines import (
     BLANK,
-    LONGEST_MESSAGE,
+    MAX_MESSAGE_BYTES,
     MessageMalformed,
     MessageTooLong,
     make_line,
@@ -268,7 +268,7 @@
         reader, writer = await open_connection(
             target.host,
             target.port,
-            limit=LONGEST_MESSAGE,
+            limit=MAX_MESSAGE_BYTES,
         )
         watch_silence(writer)
         session = WireTargetSession(target, reader, writer)
--- a/tests/features/node_bench.py
+++ b/tests/features/node_bench.py
@@ -42,7 +42,7 @@
     NodeSettings,
     StoreSettings,
 )
-from sedgeshunt.platform.statements import read_statement
+from sedgeshunt.platform.statements import parse_statement
 from sedgeshunt.ports import Address, Delete, Put
 from sedgeshunt.requests.outcome import Answer, Refusal
 from sedgeshunt.statements.records import NullRecorder
@@ -236,7 +236,7 @@
     async def answer(self, session: StatementSession, text: str) -> Outcome:
         """Run one statement in a session."""
         name = StatementId(f's{next(self._ids)}')
-        return await session.answer(read_statement(name, text))
+        return await session.answer(parse_statement(name, text))
 
     def ask(self, session: StatementSession, text: str) -> Outcome:
         """Run one statement to its end."""
@@ -278,7 +278,7 @@
         declared = self.read(CONFIGURATION_KEY)
         self.time.act(self.store.outage)
         self.wait(away)
-        self.time.act(lambda: self.store.store.go_back(away + age))
+        self.time.act(lambda: self.store.store.restore_copy(away + age))
         self._publish_after = self.time.read_now() + self.relist_time
         self.time.act(self.store.recover)
         self.wait(REWRITE_AFTER)
--- a/tests/features/steps/entries_steps.py
+++ b/tests/features/steps/entries_steps.py
@@ -14,7 +14,7 @@
 from sedgeshunt.exceptions import SedgeshuntError
 from sedgeshunt.identifiers import GroupId, Revision
 from sedgeshunt.customers.directory import DIGEST_BYTES
-from sedgeshunt.platform.callers import read_start
+from sedgeshunt.platform.callers import parse_start
 from sedgeshunt.platform.documents import (
     CONFIGURATION_KEY,
     TARGETS_PREFIX,
@@ -205,7 +205,7 @@
     @draw(st.text() | st.text().map(lambda text: f'START {text}'))
     def check(line: str) -> None:
         try:
-            database, digest = read_start(line)
+            database, digest = parse_start(line)
         except MessageMalformed:
             return
         assert database
--- a/tests/features/steps/ownership_steps.py
+++ b/tests/features/steps/ownership_steps.py
@@ -66,7 +66,7 @@
         await sleep(0.005)
         bench.suspended += SUSPENSION
         # Only the proxy is suspended; the clock of the store goes on.
-        bench.store.store.end_leases()
+        bench.store.store.expire_leases()
         context.told = await asked
 
     bench.run(suspend())
--- a/tests/features/steps/platform_process_steps.py
+++ b/tests/features/steps/platform_process_steps.py
@@ -18,7 +18,7 @@
 from behave import given, then, when
 
 from sedgeshunt.adapters.json_client import JsonClient
-from sedgeshunt.platform.lines import LONGEST_MESSAGE
+from sedgeshunt.platform.lines import MAX_MESSAGE_BYTES
 from sedgeshunt.ports import Address
 from tests.features.driver_bench import LoopThread
 from tests.features.platform_bench import (
@@ -33,7 +33,7 @@
     'no session': b'QUERY q1 READ turn\r\n',
     'no text': b'\xff\xfe\xfd\r\n',
     'a word of no session': b'START kigali tester\r\nHELLO there\r\n',
-    'an endless line': b'x' * (LONGEST_MESSAGE + 1),
+    'an endless line': b'x' * (MAX_MESSAGE_BYTES + 1),
     'an unknown database': b'START nowhere tester\r\n',
     'half a line': b'START kig',
     'a frame of garbage': b'\x00\x00\x00\x04abcd',
--- a/tests/process_faults.py
+++ b/tests/process_faults.py
@@ -76,7 +76,7 @@
     platform = scene.bench.platform
     platform.front.refusal = 503
     await sleep(scene.random.uniform(0.1, 3))
-    platform.front.service.store.go_back(scene.random.uniform(0.1, 6))
+    platform.front.service.store.restore_copy(scene.random.uniform(0.1, 6))
     platform.front.refusal = None
     await sleep(scene.random.uniform(0, 0.5))
     await platform.publish_all()
--- a/tests/standins/keyvalues.py
+++ b/tests/standins/keyvalues.py
@@ -135,12 +135,12 @@
         self._apply([Delete(key) for key in sorted(ended.keys)])
         return True
 
-    def end_leases(self) -> None:
+    def expire_leases(self) -> None:
         """End all leases, as when nobody has renewed them for long."""
         for lease in tuple(self._leases):
             self.revoke_lease(lease)
 
-    def go_back(self, age: float) -> None:
+    def restore_copy(self, age: float) -> None:
         """Become what the store was `age` seconds ago, in the next era.
 
         Revisions and the ids of leases are given out again from there.
