--- a/src/sedgeshunt/platform/__init__.py
+++ b/src/sedgeshunt/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Speak to the users' platform: names, formats and calls, no decisions."""
+"""Adapt to the users' platform: names, formats and calls, no decisions."""
--- a/src/sedgeshunt/platform/callers.py
+++ b/src/sedgeshunt/platform/callers.py
@@ -1,4 +1,4 @@
-"""Let the platform's callers in and speak their protocol."""
+"""Accept connections of callers and serve their protocol."""
 
 from asyncio import (
     Server,
@@ -41,14 +41,18 @@
 from sedgeshunt.statements.session import StatementSession
 
 NO_SIGNATURE = '-'
-# Time for a caller to read the last words, in seconds; a way takes 3 ms.
-LINGER = Seconds(0.2)
-# Callers over the limit that are told so at once, a descriptor each; more are
-# cut off. A caller's first message takes a way of 3 ms.
-MOST_TURNED_AWAY = 40
-TURN_AWAY_LIMIT = Seconds(0.5)
-STOPPING = 'this proxy is shutting down; connect again to reach another'
-FULL = 'this proxy serves all callers that it can; connect to another'
+# Time for a caller to read the final error before the connection is closed;
+# one network trip takes 3 ms.
+CLOSE_DELAY = Seconds(0.2)
+# Rejections of callers over the limit that may be pending at the same time.
+# Each holds a descriptor; connections beyond this number are aborted.
+MAX_PENDING_REJECTIONS = 40
+# Time for the first message of a rejected caller; one network trip takes 3 ms.
+REJECTION_TIMEOUT = Seconds(0.5)
+STOPPING_REASON = 'this proxy is shutting down; connect again to reach another'
+CALLER_LIMIT_REASON = (
+    'this proxy serves all callers that it can; connect to another'
+)
 NO_POINT = '-'
 _PHASES = {
     SessionPhase.IDLE: 'I',
@@ -68,19 +72,19 @@
     def __init__(
         self,
         address: Address,
-        most: int,
+        max_callers: int,
         open_session: OpenSession,
     ) -> None:
-        """Open the sessions of at most `most` callers at once."""
+        """Serve at most `max_callers` callers at the same time."""
         self.address = address
-        self._most = most
+        self._max_callers = max_callers
         self._open_session = open_session
         self._server: Server | None = None
         self._conversations: dict[Task[None], CallerConversation] = {}
-        self._turned_away = 0
+        self._pending_rejections = 0
 
     async def start(self) -> None:
-        """Listen; raise OSError."""
+        """Start to listen; raise OSError."""
         self._server = await start_server(
             self._serve,
             self.address.host,
@@ -90,40 +94,43 @@
         )
 
     def count_open(self) -> int:
-        """Count the callers that are connected."""
+        """Return the number of connected callers."""
         return len(self._conversations)
 
     def close(self) -> None:
-        """Let nobody in any more."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
-    async def end_sessions(self, patience: Seconds) -> None:
-        """End each session once nothing is under way, within `patience`."""
+    async def end_sessions(self, limit: Seconds) -> None:
+        """End each session once it is idle; wait at most `limit` seconds."""
         for conversation in self._conversations.values():
             conversation.stop()
         if self._conversations:
-            await wait(tuple(self._conversations), timeout=patience)
+            await wait(tuple(self._conversations), timeout=limit)
 
     def end_idle_sessions(self) -> None:
-        """End the sessions with nothing under way; others may follow them."""
+        """End the sessions that are idle now; keep accepting connections."""
         for conversation in tuple(self._conversations.values()):
             conversation.close_if_idle()
 
-    async def abort(self, patience: Seconds) -> None:
-        """Undo the transactions that are left; let statements finish."""
+    async def abort(self, limit: Seconds) -> None:
+        """Roll back open transactions and let running statements finish.
+
+        Cancel what still runs after `limit` seconds.
+        """
         for conversation in self._conversations.values():
             conversation.abort()
         tasks = tuple(self._conversations)
         if tasks:
-            await wait(tasks, timeout=patience)
+            await wait(tasks, timeout=limit)
         for task in tasks:
             task.cancel()
 
     async def _serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        if len(self._conversations) >= self._most:
-            # With no descriptor left, no target could be reached either.
-            await self._turn_away(reader, writer)
+        if len(self._conversations) >= self._max_callers:
+            # Otherwise no descriptor would be left to connect to targets.
+            await self._reject(reader, writer)
             return
         conversation = CallerConversation(reader, writer, self._open_session)
         task = current_task()
@@ -136,31 +143,31 @@
             if task is not None:
                 self._conversations.pop(task, None)
 
-    async def _turn_away(
+    async def _reject(
         self,
         reader: StreamReader,
         writer: StreamWriter,
     ) -> None:
-        if self._turned_away >= MOST_TURNED_AWAY:
+        if self._pending_rejections >= MAX_PENDING_REJECTIONS:
             writer.transport.abort()
             return
-        self._turned_away += 1
-        # A close with its first message unread would reset the connection, and
-        # the reset overtake the answer.
+        self._pending_rejections += 1
+        # Closing with the first message unread would reset the connection,
+        # and the caller could lose the error.
         with suppress(OSError, TimeoutError, MessageTooLong, MessageMalformed):
-            async with timeout(TURN_AWAY_LIMIT):
+            async with timeout(REJECTION_TIMEOUT):
                 await read_line(reader)
-        self._turned_away -= 1
-        writer.write(make_line('ERROR', 'TOOMANY', FULL))
+        self._pending_rejections -= 1
+        writer.write(make_line('ERROR', 'TOOMANY', CALLER_LIMIT_REASON))
         writer.close()
 
 
-class _SentAway(Exception):
-    """End the wait for a caller's next message."""
+class _CloseRequested(Exception):
+    """Signal that the wait for the next message must end."""
 
 
 class CallerConversation:
-    """Serve one caller's connection, one statement after the other."""
+    """Serve the connection of one caller, one statement at a time."""
 
     def __init__(
         self,
@@ -168,56 +175,57 @@
         writer: StreamWriter,
         open_session: OpenSession,
     ) -> None:
-        """Own an accepted connection."""
+        """Take over an accepted connection."""
         self._reader = reader
         self._writer = writer
         self._open_session = open_session
         self._session: StatementSession | None = None
         self._is_stopping = False
         self._is_aborting = False
-        # The next message is waited for, with no statement under way.
+        # True while it waits for the next message and no statement runs.
         self._is_waiting = False
 
     def stop(self) -> None:
-        """End the session as soon as nothing is under way."""
+        """End the session once no statement or transaction is open."""
         self._is_stopping = True
         self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """End the session if nothing is under way."""
+        """End the session if no statement or transaction is open."""
         if self._is_waiting and not self._is_open():
-            self._send_away()
+            self._request_close()
 
     def abort(self) -> None:
-        """End the session as soon as no statement is under way."""
+        """End the session once no statement runs; roll back a transaction."""
         self._is_aborting = True
         if self._is_waiting:
-            self._send_away()
+            self._request_close()
 
     def _is_open(self) -> bool:
         return self._session is not None and self._session.in_transaction
 
-    def _send_away(self) -> None:
-        # Callers take an error that answers nothing as a request to close. If
-        # a statement crosses it, it is its answer: nothing is run after it.
+    def _request_close(self) -> None:
+        # Callers treat an unsolicited error as a request to close. If a
+        # statement is sent at the same time, the caller takes the error as its
+        # answer, which is correct: no statement runs afterwards.
         code = 'ABORTED' if self._is_open() else 'BUSY'
-        self._say_error(code, STOPPING)
-        self._reader.set_exception(_SentAway())
+        self._write_error(code, STOPPING_REASON)
+        self._reader.set_exception(_CloseRequested())
 
     async def run(self) -> None:
-        """Serve until the caller leaves."""
+        """Serve until the caller or the proxy ends the session."""
         watch_silence(self._writer)
         with suppress(OSError):
             try:
                 await self._serve()
-            except _SentAway:
-                # Closing at once could reset the connection, and the reset
-                # overtake the last words.
-                await sleep(LINGER)
+            except _CloseRequested:
+                # Closing at once could reset the connection, and the caller
+                # could lose the error.
+                await sleep(CLOSE_DELAY)
             except MessageTooLong as failure:
-                self._say_error('TOOBIG', str(failure))
+                self._write_error('TOOBIG', str(failure))
             except MessageMalformed as failure:
-                self._say_error('MALFORMED', str(failure))
+                self._write_error('MALFORMED', str(failure))
             finally:
                 if self._session is not None:
                     await self._session.close()
@@ -226,7 +234,7 @@
         session = await self._start()
         if session is None:
             return
-        while (line := await self._read_next()) is not None:
+        while (line := await self._read_message()) is not None:
             word, rest = split_line(line, 1)
             if word == 'CLOSE':
                 return
@@ -236,16 +244,16 @@
             if session.is_key_revoked:
                 return
 
-    async def _read_next(self) -> str | None:
-        if self._must_end():
-            self._send_away()
+    async def _read_message(self) -> str | None:
+        if self._must_close():
+            self._request_close()
         self._is_waiting = True
         try:
             return await read_line(self._reader)
         finally:
             self._is_waiting = False
 
-    def _must_end(self) -> bool:
+    def _must_close(self) -> bool:
         return self._is_aborting or (self._is_stopping and not self._is_open())
 
     async def _start(self) -> StatementSession | None:
@@ -254,7 +262,7 @@
             return None
         opened = await self._open_session(*parse_start(line))
         if isinstance(opened, Err):
-            self._say_error(*name_refusal(opened.err_value))
+            self._write_error(*name_refusal(opened.err_value))
             return None
         session = opened.ok_value
         self._session = session
@@ -274,7 +282,7 @@
             messages = [('ERROR', 'MALFORMED', str(malformed))]
         else:
             outcome = await session.answer(statement)
-            messages = _make_messages(outcome)
+            messages = _encode_outcome(outcome)
         messages.append(('READY', _PHASES[session.phase], NO_POINT))
         await self._send(make_lines(messages))
 
@@ -284,20 +292,20 @@
         self._writer.write(data)
         await self._writer.drain()
 
-    def _say_error(self, code: str, reason: str) -> None:
+    def _write_error(self, code: str, reason: str) -> None:
         if not self._writer.is_closing():
             self._writer.write(make_line('ERROR', code, reason))
 
 
 def parse_start(line: str) -> tuple[TrafficClass, KeyDigest]:
-    """Return the database and the key; raise MessageMalformed."""
+    """Return the database and the key digest; raise MessageMalformed."""
     word, database, key = split_line(line, 2)
     if word != 'START' or not database:
         raise MessageMalformed('a session begins with START')
     return TrafficClass(database), digest_key(key)
 
 
-def _make_messages(
+def _encode_outcome(
     outcome: Result[Answer, Refusal],
 ) -> list[tuple[str, ...]]:
     if isinstance(outcome, Ok):
--- a/src/sedgeshunt/platform/documents.py
+++ b/src/sedgeshunt/platform/documents.py
@@ -1,4 +1,4 @@
-"""Read what the operator and the databases write into the store."""
+"""Decode the documents that the operator and databases write to the store."""
 
 from collections.abc import Iterable
 from ipaddress import ip_address
@@ -48,17 +48,17 @@
     'bounded_staleness': Consistency.BOUNDED_AGE,
 }
 READY_STATE = 'ready'
-LARGEST_PORT = 65535
+MAX_PORT = 65535
 PRIMARY_ROLE = 'primary'
 ROLE_LABEL = 'role'
 VERSION_LABEL = 'version'
 
 
 class DocumentUnreadable(SedgeshuntError):
-    """Say that a document of the store is not as the page has it."""
+    """Signal that a document of the store has an invalid format."""
 
     def __init__(self, key: str, reason: str) -> None:
-        """Keep the key and the reason."""
+        """Store the key and the reason."""
         super().__init__(key, reason)
         self.key = key
         self.reason = reason
@@ -66,14 +66,14 @@
     def format_message(self) -> str:
         """Name the key and the remedy."""
         return (
-            f'the value of {self.key} can not be read ({self.reason}); '
-            + 'the one before it stays in force, write a valid one'
+            f'the value of {self.key} is invalid ({self.reason}); '
+            + 'the previous value stays in force until a valid one is written'
         )
 
 
 class _Route(Struct):
     name: str
-    # The name of the database that callers ask for, no host.
+    # Name of the database that callers request, not a network host.
     host: str
     service: str
     type: str = ''
@@ -106,33 +106,33 @@
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits = field(default_factory=_Limits)
-    # Left out where the platform knows no customers.
+    # Absent where the platform has no customers.
     tenants: list[_Tenant] | None = None
 
 
 class _Server(Struct):
     service: str
-    # IP number and port.
+    # IP address and port.
     address: str
     zone: str
     state: str = 'ready'
     version: str = ''
     db_role: str = ''
-    # Statements that it runs at once.
+    # Number of statements that it runs at the same time.
     capacity_slots: int = 3
     cold_remaining_ms: int = 0
-    # Unix time of its start in ms, whole.
+    # Start time as whole Unix milliseconds.
     born: int = 0
 
 
 class StoreDocuments(PlatformDocuments):
-    """Read the documents of the platform's store."""
+    """Decode the documents of the platform's store."""
 
     configuration_key = CONFIGURATION_KEY
     targets_prefix = TARGETS_PREFIX
 
     def read_declared(self, pair: KeyValue) -> DeclaredConfiguration:
-        """Read the operator's document; raise DocumentUnreadable."""
+        """Decode the operator's document; raise DocumentUnreadable."""
         read = _decode(pair.value, _Configuration, pair.key)
         groups = (_make_group(one, read.limits) for one in read.services)
         return DeclaredConfiguration(
@@ -143,11 +143,13 @@
         )
 
     def read_target(self, pair: KeyValue) -> KnownTarget:
-        """Read one database's entry; raise DocumentUnreadable."""
+        """Decode the entry of one database; raise DocumentUnreadable."""
         read = _decode(pair.value, _Server, pair.key)
-        host, port = _read_address(pair.key, read.address)
+        host, port = _parse_address(pair.key, read.address)
         if read.capacity_slots < 1:
-            reason = f'{read.capacity_slots} slots run nothing'
+            reason = (
+                f'capacity_slots is {read.capacity_slots}, must be at least 1'
+            )
             raise DocumentUnreadable(pair.key, reason)
         labels = {VERSION_LABEL: read.version, ROLE_LABEL: read.db_role}
         if read.state != READY_STATE:
@@ -174,16 +176,18 @@
         raise DocumentUnreadable(key, str(failure)) from failure
 
 
-def _read_address(key: str, address: str) -> tuple[str, int]:
-    # Another writer's entry may hold anything; a name would be looked up, and
-    # a port out of range end the task that connects.
+def _parse_address(key: str, address: str) -> tuple[str, int]:
+    # Other writers' entries aren't validated. A host name would cause a DNS
+    # lookup, and a port out of range would end the connecting task.
     host, _, port = address.rpartition(':')
     try:
-        is_usable = bool(ip_address(host)) and 0 < int(port) <= LARGEST_PORT
+        is_usable = bool(ip_address(host)) and 0 < int(port) <= MAX_PORT
     except ValueError:
         is_usable = False
     if not is_usable:
-        raise DocumentUnreadable(key, f'"{address}" is no address')
+        raise DocumentUnreadable(
+            key, f'"{address}" is not an IP address and port'
+        )
     return host, int(port)
 
 
@@ -199,7 +203,7 @@
 def _make_routes(routes: Iterable[_Route]) -> Iterable[Route]:
     for route in routes:
         consistency = _CONSISTENCIES.get(route.type)
-        # The platform's routes of other kinds are for other protocols.
+        # Routes of other types belong to other protocols.
         if consistency is None:
             continue
         yield Route(
@@ -240,5 +244,5 @@
     if rate is None and burst is None:
         return None
     if rate is None or burst is None:
-        raise CustomerInvalid(tenant.name, 'give it a rate and a burst')
+        raise CustomerInvalid(tenant.name, 'set both rate_per_s and burst')
     return CustomerLimit(rate, burst)
--- a/src/sedgeshunt/platform/lines.py
+++ b/src/sedgeshunt/platform/lines.py
@@ -1,4 +1,4 @@
-"""Read and write the messages that callers and targets exchange."""
+"""Encode and decode the messages of the line protocol."""
 
 from asyncio import (
     IncompleteReadError,
@@ -9,17 +9,17 @@
 
 from sedgeshunt.exceptions import SedgeshuntError
 
-# Longest message, in bytes; source: the platform's page on the wire.
+# Limit of the platform's wire protocol.
 MAX_MESSAGE_BYTES = 1024 * 1024
 LINE_END = b'\r\n'
-BLANK = ' '
+FIELD_SEPARATOR = ' '
 
 
 class MessageTooLong(SedgeshuntError):
-    """Say that a line does not end within the longest message."""
+    """Signal that a line exceeds the maximum message size."""
 
     def format_message(self) -> str:
-        """Name the limit."""
+        """Return the limit and the remedy."""
         return (
             f'a message is longer than {MAX_MESSAGE_BYTES} bytes; '
             + 'split it into smaller ones'
@@ -27,20 +27,20 @@
 
 
 class MessageMalformed(SedgeshuntError):
-    """Say that a line is no message."""
+    """Signal that a line is not a valid message."""
 
     def __init__(self, reason: str) -> None:
-        """Keep what is wrong with it."""
+        """Store the reason."""
         super().__init__(reason)
         self.reason = reason
 
     def format_message(self) -> str:
-        """Tell what is wrong."""
+        """Return the reason and the expected format."""
         return f'{self.reason}; send a word, its fields and a line end'
 
 
 async def read_line(reader: StreamReader) -> str | None:
-    """Return the next line without its end, None when there is none.
+    """Return the next line without its line end; None at end of stream.
 
     Raise MessageTooLong or MessageMalformed.
     """
@@ -57,17 +57,17 @@
 
 
 def split_line(line: str, fields: int) -> list[str]:
-    """Split a line into its word and fields; the last one keeps blanks."""
-    parts = line.split(BLANK, fields)
+    """Split a line into its word and fields; the last keeps its spaces."""
+    parts = line.split(FIELD_SEPARATOR, fields)
     parts.extend('' for _ in range(fields + 1 - len(parts)))
     return parts
 
 
 def make_line(*parts: str) -> bytes:
-    """Build a line from a word and its fields."""
-    return BLANK.join(parts).encode() + LINE_END
+    """Encode a word and its fields as one line."""
+    return FIELD_SEPARATOR.join(parts).encode() + LINE_END
 
 
 def make_lines(messages: Sequence[Sequence[str]]) -> bytes:
-    """Build several lines to be sent at once."""
+    """Encode several messages as consecutive lines."""
     return b''.join(make_line(*message) for message in messages)
--- a/src/sedgeshunt/platform/promotions.py
+++ b/src/sedgeshunt/platform/promotions.py
@@ -1,4 +1,4 @@
-"""Order promotions from the platform."""
+"""Request promotions from the platform."""
 
 from sedgeshunt.adapters.json_client import (
     CallFailed,
@@ -20,16 +20,16 @@
 
 
 class PlatformPromotions(PromotionService):
-    """Post promotions to the platform's own interface."""
+    """Send promotion orders to the HTTP interface of the platform."""
 
     def __init__(self, address: Address) -> None:
-        """Connect anew for each order."""
-        # Bytes that a partition holds up are lost with the connection, so
-        # that no order arrives after its sender has given it up.
+        """Open a new connection for each order."""
+        # Data delayed by a partition is lost with its connection, so that no
+        # order arrives after its sender's timeout.
         self._client = JsonClient([address])
 
     def move(self, address: Address) -> None:
-        """Order at another address from the next order on."""
+        """Use another address from the next order on."""
         self._client.move(address)
 
     async def order(
@@ -37,7 +37,7 @@
         order: PromotionOrder,
         limit: Seconds,
     ) -> PromotionAnswer:
-        """Send one order and wait for its answer within `limit`."""
+        """Send an order and return its outcome within `limit` seconds."""
         try:
             reply = await self._client.exchange(
                 'POST',
--- a/src/sedgeshunt/platform/readiness.py
+++ b/src/sedgeshunt/platform/readiness.py
@@ -1,4 +1,4 @@
-"""Tell the platform's balancer whether this proxy takes callers."""
+"""Provide the readiness and metrics pages that the platform requests."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,12 +11,14 @@
 def list_readiness_pages(
     is_ready: Callable[[], bool],
 ) -> Mapping[bytes, MakePage]:
-    """Return the page that the balancer asks for."""
+    """Return the page that the load balancer requests."""
     return {
         READY_PATH: lambda: Page(OK if is_ready() else NOT_READY),
     }
 
 
-def list_metrics_pages(write: Callable[[], bytes]) -> Mapping[bytes, MakePage]:
-    """Return the page that the platform reads metrics from."""
-    return {METRICS_PATH: lambda: Page(OK, write())}
+def list_metrics_pages(
+    make_body: Callable[[], bytes],
+) -> Mapping[bytes, MakePage]:
+    """Return the page that the platform scrapes for metrics."""
+    return {METRICS_PATH: lambda: Page(OK, make_body())}
--- a/src/sedgeshunt/platform/refusals.py
+++ b/src/sedgeshunt/platform/refusals.py
@@ -1,18 +1,18 @@
-"""Name refusals as the platform's callers know them."""
+"""Map refusals to the error codes of the caller protocol."""
 
 from sedgeshunt.requests.outcome import Cause, NotRun, Refusal, Unknown
 
-# All of these promise that nothing was kept.
-_PROMISES = {
+# These codes guarantee that the statement had no effect.
+_NOT_RUN_CODES = {
     Cause.TRANSACTION_LOST: 'ABORTED',
     Cause.TOO_STALE: 'LAGGING',
     Cause.SUPERSEDED: 'READONLY',
     Cause.NO_PRIMARY: 'READONLY',
     Cause.CUSTOMER_LIMIT: 'TOOMANY',
 }
-OTHER_PROMISE = 'BUSY'
-UNKNOWN = 'UNKNOWN'
-_REJECTIONS = {
+DEFAULT_NOT_RUN_CODE = 'BUSY'
+UNKNOWN_CODE = 'UNKNOWN'
+_REJECTION_CODES = {
     'failed': 'FAILED',
     'timed-out': 'TIMEOUT',
     'malformed': 'MALFORMED',
@@ -23,11 +23,11 @@
 
 
 def name_refusal(refusal: Refusal) -> tuple[str, str]:
-    """Return the code and the text of a refusal."""
+    """Return the error code and the text of a refusal."""
     if isinstance(refusal, NotRun):
-        code = _PROMISES.get(refusal.cause, OTHER_PROMISE)
+        code = _NOT_RUN_CODES.get(refusal.cause, DEFAULT_NOT_RUN_CODE)
         return code, refusal.describe()
     if isinstance(refusal, Unknown):
-        return UNKNOWN, refusal.describe()
-    code = _REJECTIONS.get(refusal.sqlstate, 'FAILED')
+        return UNKNOWN_CODE, refusal.describe()
+    code = _REJECTION_CODES.get(refusal.sqlstate, 'FAILED')
     return code, refusal.describe()
--- a/src/sedgeshunt/platform/statements.py
+++ b/src/sedgeshunt/platform/statements.py
@@ -1,4 +1,4 @@
-"""Read the texts of callers' statements and write those to targets."""
+"""Parse the statements of callers and build those for targets."""
 
 from hashlib import blake2s
 
@@ -15,17 +15,17 @@
 )
 
 NO_POINT = '-'
-# The id under which the proxy issues statements of its own.
-OWN_ID = StatementId('-')
-NAME_BYTES = 8
+# Statement id of the statements that the proxy itself issues.
+PROXY_STATEMENT_ID = StatementId('-')
+PREPARED_NAME_BYTES = 8
 
-_PLAIN_KINDS = {
+_SIMPLE_KINDS = {
     'READ': StatementKind.READ,
     'WRITE': StatementKind.WRITE,
     'COMMIT': StatementKind.COMMIT,
     'ROLLBACK': StatementKind.ROLLBACK,
 }
-_NAMING_KINDS = {
+_NAMED_KINDS = {
     'EXECUTE': StatementKind.EXECUTE,
     'SET': StatementKind.SET_VALUE,
     'DEALLOC': StatementKind.FORGET,
@@ -33,22 +33,22 @@
 
 
 def parse_statement(statement: StatementId, text: str) -> Statement:
-    """Take a caller's text apart; raise MessageMalformed."""
+    """Parse the text of a statement; raise MessageMalformed."""
     word, rest = split_line(text, 1)
-    plain = _PLAIN_KINDS.get(word)
-    if plain is not None:
-        return Statement(statement, text, plain)
-    if word in _NAMING_KINDS:
-        return _read_naming(statement, text, rest)
+    kind = _SIMPLE_KINDS.get(word)
+    if kind is not None:
+        return Statement(statement, text, kind)
+    if word in _NAMED_KINDS:
+        return _parse_named(statement, text, rest)
     if word == 'BEGIN':
-        return _read_begin(statement, text, rest)
+        return _parse_begin(statement, text, rest)
     if word == 'PREPARE':
-        return _read_prepare(statement, text, rest)
+        return _parse_prepare(statement, text, rest)
     raise MessageMalformed(f'"{word[:20]}" is no statement')
 
 
-def read_point(text: str) -> Point | None:
-    """Return the place in a log that a text names, None for none."""
+def parse_point(text: str) -> Point | None:
+    """Parse a log position, None for "-"; raise MessageMalformed."""
     if text == NO_POINT:
         return None
     term, dot, number = text.partition('.')
@@ -57,50 +57,50 @@
     return Point(Term(int(term)), Position(int(number)))
 
 
-def make_after(point: Point | None, text: str) -> str:
-    """Put the demand for a place in the log before a text."""
+def add_point_condition(point: Point | None, text: str) -> str:
+    """Require that the target has applied `point` before a statement."""
     if point is None:
         return text
     return f'AFTER {point.term}.{point.position} {text}'
 
 
 def make_prepare(prepared: PreparedStatement) -> str:
-    """Write the text that prepares a statement on a connection."""
+    """Return the text that prepares a statement on a connection."""
     kind = 'WRITE' if prepared.writes else 'READ'
     return f'PREPARE {name_prepared(prepared)} {kind} {prepared.shape}'
 
 
 def make_execute(prepared: PreparedStatement, arguments: str) -> str:
-    """Write the text that runs a prepared statement."""
+    """Return the text that runs a prepared statement."""
     return f'EXECUTE {name_prepared(prepared)} {arguments}'
 
 
 def name_prepared(prepared: PreparedStatement) -> str:
-    """Name a prepared statement by what it does."""
-    # Callers' names collide on a shared connection. One name for each
-    # meaning can't, and callers with the same statement share it.
+    """Return a name derived from the content of a prepared statement."""
+    # Names chosen by callers could collide on a shared connection. A digest of
+    # the content can't, and callers with the same statement share it.
     kind = 'w' if prepared.writes else 'r'
-    meaning = blake2s(prepared.shape.encode(), digest_size=NAME_BYTES)
-    return kind + meaning.hexdigest()
+    digest = blake2s(prepared.shape.encode(), digest_size=PREPARED_NAME_BYTES)
+    return kind + digest.hexdigest()
 
 
-def _read_naming(
+def _parse_named(
     statement: StatementId,
     text: str,
     rest: str,
 ) -> Statement:
     word, _ = split_line(text, 1)
     name, rest = split_line(rest, 1)
-    _demand(name, f'{word} names nothing')
-    return Statement(statement, text, _NAMING_KINDS[word], name, rest)
+    _require(name, f'{word} names nothing')
+    return Statement(statement, text, _NAMED_KINDS[word], name, rest)
 
 
-def _read_begin(
+def _parse_begin(
     statement: StatementId,
     text: str,
     rest: str,
 ) -> Statement:
-    _demand(rest in ('', 'READ'), f'BEGIN can not be "{rest[:20]}"')
+    _require(rest in ('', 'READ'), f'BEGIN can not be "{rest[:20]}"')
     return Statement(
         statement,
         text,
@@ -109,14 +109,14 @@
     )
 
 
-def _read_prepare(
+def _parse_prepare(
     statement: StatementId,
     text: str,
     rest: str,
 ) -> Statement:
     name, kind, shape = split_line(rest, 2)
-    _demand(bool(name), 'PREPARE names nothing')
-    _demand(kind in ('READ', 'WRITE'), f'PREPARE can not be "{kind[:20]}"')
+    _require(bool(name), 'PREPARE names nothing')
+    _require(kind in ('READ', 'WRITE'), f'PREPARE can not be "{kind[:20]}"')
     return Statement(
         statement,
         text,
@@ -126,6 +126,6 @@
     )
 
 
-def _demand(is_met: object, reason: str) -> None:
+def _require(is_met: object, reason: str) -> None:
     if not is_met:
         raise MessageMalformed(reason)
--- a/src/sedgeshunt/platform/store.py
+++ b/src/sedgeshunt/platform/store.py
@@ -1,4 +1,4 @@
-"""Reach the platform's metadata store."""
+"""Access the platform's metadata store over HTTP."""
 
 from base64 import b64decode, b64encode
 from collections.abc import AsyncIterator, Sequence
@@ -33,14 +33,16 @@
 )
 from sedgeshunt.revisions import make_revision, read_count
 
-# An answer takes 4 ms, 350 ms where the store is at its slowest.
+# The store usually answers in 4 ms, and in 350 ms when it is slowest.
 CALL_TIMEOUT = Seconds(0.8)
 LIST_TIMEOUT = Seconds(2)
-# A waiting watch costs a call each time it is armed; a connection that went
-# silent shows by the kernel's probes long before.
+# Each poll of a watch costs one call, hence the long wait. TCP keepalive
+# detects a broken connection much earlier.
 WATCH_WAIT = Seconds(20)
-SHORTEST_SHARE = 0.7
-WATCH_SLACK = Seconds(2)
+# Lower bound of the random factor that spreads the polls of all proxies.
+MIN_WAIT_SHARE = 0.7
+# Time beyond the wait in which the answer must arrive.
+WATCH_MARGIN = Seconds(2)
 
 OK = 200
 NOT_FOUND = 404
@@ -52,20 +54,20 @@
 
 
 class MetadataStore(KeyValueService):
-    """Speak the store's protocol of items, leases and watches."""
+    """Read, write and watch items of the store, and manage its leases."""
 
     def __init__(self, address: Address) -> None:
-        """Connect at the first call."""
+        """Set the address; the first call opens the connection."""
         self._client = JsonClient([address], keeps_connections=True)
         self._era = FIRST_ERA
 
     @property
     def era(self) -> Era:
-        """Return the newest era that an answer has told."""
+        """Return the newest era that an answer contained."""
         return self._era
 
     def move(self, address: Address) -> None:
-        """Call another address from the next call on."""
+        """Use another address from the next call on."""
         self._client.move(address)
 
     async def list_prefix(
@@ -76,15 +78,15 @@
     ) -> Listing:
         """Read all pairs under `prefix`; raise PlatformUnavailable.
 
-        A state that `may_be_old` is charged at a tenth, and not against the
-        rate that all proxies share.
+        A stale read (`may_be_old`) costs a tenth of a normal one, and doesn't
+        count against the rate limit that all proxies share.
         """
-        asked = {'prefix': prefix}
+        query = {'prefix': prefix}
         if may_be_old:
-            asked['is_stale'] = STALE
-        pages = [page async for page in self._read_pages(asked)]
-        # The pages are no snapshot: who follows the changes after the oldest
-        # one hears of what changed between them.
+            query['is_stale'] = STALE
+        pages = [page async for page in self._read_pages(query)]
+        # The pages aren't one snapshot. A watch from the oldest revision
+        # includes the changes made between the pages.
         return Listing(
             min(page.revision for page in pages),
             [pair for page in pages for pair in page.pairs],
@@ -95,7 +97,11 @@
         compares: Sequence[Compare],
         changes: Sequence[Put | Delete],
     ) -> CommitResult:
-        """Apply all or nothing; raise PlatformUnavailable or AnswerLost."""
+        """Apply all changes or none.
+
+        Raise PlatformUnavailable, LeaseLapsed, or AnswerLost if the changes
+        may have been applied.
+        """
         body = {
             'expected': [
                 {'key': one.key, 'revision': read_count(one.revision)}
@@ -111,7 +117,7 @@
         except ServiceAway as away:
             raise PlatformUnavailable(str(away)) from away
         except CallFailed as failure:
-            # It may have been done, or be done seconds later.
+            # The store may have applied it, or may apply it seconds later.
             raise AnswerLost(changes[0].key) from failure
         return _read_commit(reply)
 
@@ -120,45 +126,45 @@
         prefix: str,
         after: Revision,
     ) -> AsyncIterator[Sequence[WatchEvent]]:
-        """Yield changes past `after`; raise PlatformUnavailable at its end.
+        """Yield changes past `after` until PlatformUnavailable is raised.
 
-        Raise WatchCompacted when `after` is no longer kept.
+        Raise WatchCompacted if the changes past `after` were discarded.
         """
         seen = after
         while True:
-            wait = Seconds(WATCH_WAIT * uniform(SHORTEST_SHARE, 1))
-            asked = {
+            wait = Seconds(WATCH_WAIT * uniform(MIN_WAIT_SHARE, 1))
+            query = {
                 'prefix': prefix,
                 'after': read_count(seen),
                 'wait_timeout_ms': int(wait * MILLISECONDS),
             }
-            limit = Seconds(wait + WATCH_SLACK)
-            reply = await self._read('/kv-watch', asked, limit)
+            limit = Seconds(wait + WATCH_MARGIN)
+            reply = await self._read('/kv-watch', query, limit)
             seen = max(seen, _read_revision(reply, 'at_revision'))
             yield [
                 _read_event(event, reply) for event in reply.document['events']
             ]
 
     async def grant_lease(self, ttl: Seconds) -> int:
-        """Return a new lease's id; raise PlatformUnavailable."""
+        """Create a lease and return its id; raise PlatformUnavailable."""
         body = {'ttl_ms': int(ttl * MILLISECONDS)}
         reply = await self._call('POST', '/kv-lease', body)
-        _check(reply)
+        _check_status(reply)
         return int(reply.document['lease_id'])
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease; tell False when it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         reply = await self._call('POST', f'/kv-keep/{lease}')
         if reply.status == NOT_FOUND:
             return False
-        _check(reply)
+        _check_status(reply)
         return True
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease and remove the keys bound to it."""
+        """Revoke a lease, which deletes the keys bound to it."""
         reply = await self._call('DELETE', f'/kv-lease-end/{lease}')
         if reply.status != NOT_FOUND:
-            _check(reply)
+            _check_status(reply)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -166,30 +172,30 @@
 
     async def _read_pages(
         self,
-        asked: dict[str, Any],
+        query: dict[str, Any],
     ) -> AsyncIterator[Listing]:
         has_more = True
         while has_more:
-            reply = await self._read('/kv-range', asked, LIST_TIMEOUT)
+            reply = await self._read('/kv-range', query, LIST_TIMEOUT)
             items = reply.document['items']
             pairs = [_read_item(item, reply) for item in items]
             yield Listing(_read_revision(reply, 'at_revision'), pairs)
             has_more = bool(reply.document['has_more'] and pairs)
             if has_more:
-                asked['after'] = pairs[-1].key
+                query['after'] = pairs[-1].key
 
     async def _read(
         self,
         path: str,
-        asked: dict[str, Any],
+        query: dict[str, Any],
         limit: Seconds,
     ) -> JsonReply:
         reply = await self._call(
-            'GET', f'{path}?{urlencode(asked)}', None, limit
+            'GET', f'{path}?{urlencode(query)}', None, limit
         )
         if reply.status == GONE:
             raise WatchCompacted
-        _check(reply)
+        _check_status(reply)
         return reply
 
     async def _call(
@@ -217,20 +223,20 @@
 
 
 def _read_era(reply: JsonReply) -> Era:
-    told = reply.headers.get(ERA_HEADER, '')
-    return Era(int(told)) if told.isdecimal() else FIRST_ERA
+    text = reply.headers.get(ERA_HEADER, '')
+    return Era(int(text)) if text.isdecimal() else FIRST_ERA
 
 
 def _read_revision(reply: JsonReply, name: str) -> Revision:
     return make_revision(_read_era(reply), reply.document[name])
 
 
-def _check(reply: JsonReply) -> None:
+def _check_status(reply: JsonReply) -> None:
     if reply.status != OK:
-        _refuse(reply)
+        _raise_unavailable(reply)
 
 
-def _refuse(reply: JsonReply) -> NoReturn:
+def _raise_unavailable(reply: JsonReply) -> NoReturn:
     raise PlatformUnavailable(f'status {reply.status}')
 
 
@@ -243,7 +249,7 @@
             _read_item(item, reply) for item in items if item.get('revision')
         ]
         return CommitResult(False, Revision(0), current)
-    _check(reply)
+    _check_status(reply)
     return CommitResult(True, _read_revision(reply, 'revision'))
 
 
@@ -267,10 +273,10 @@
 
 def _read_event(event: dict[str, Any], reply: JsonReply) -> WatchEvent:
     era = _read_era(reply)
-    is_gone = bool(event.get('deleted'))
+    is_deleted = bool(event.get('deleted'))
     return WatchEvent(
         event['key'],
-        None if is_gone else b64decode(event['value']),
+        None if is_deleted else b64decode(event['value']),
         make_revision(era, event['revision']),
         make_revision(era, event.get('created', 0)),
     )
--- a/src/sedgeshunt/platform/targets.py
+++ b/src/sedgeshunt/platform/targets.py
@@ -1,4 +1,4 @@
-"""Open sessions with the platform's databases."""
+"""Connect to databases over the platform's line protocol."""
 
 from asyncio import StreamReader, StreamWriter, open_connection, timeout
 from contextlib import suppress
@@ -31,7 +31,7 @@
     Term,
 )
 from sedgeshunt.platform.lines import (
-    BLANK,
+    FIELD_SEPARATOR,
     MAX_MESSAGE_BYTES,
     MessageMalformed,
     MessageTooLong,
@@ -40,16 +40,16 @@
     split_line,
 )
 from sedgeshunt.platform.statements import (
-    OWN_ID,
-    make_after,
+    PROXY_STATEMENT_ID,
+    add_point_condition,
     make_execute,
     make_prepare,
-    read_point,
+    parse_point,
 )
 from sedgeshunt.statements.statement import PreparedStatement
 
-# Who connects where no customer does.
-CALLER = 'sedgeshunt'
+# Customer name that the proxy sends for connections without a customer.
+DEFAULT_CUSTOMER = 'sedgeshunt'
 PRIMARY_ROLE = 'primary'
 
 _PHASES = {
@@ -69,38 +69,38 @@
 }
 
 
-class _ReplyDraft:
-    """Gather the messages that make one reply."""
+class _ReplyBuilder:
+    """Collect the messages of one reply."""
 
     def __init__(self) -> None:
-        self.is_whole = False
+        self.is_complete = False
         self.rows: list[str] = []
         self.signature = ''
         self.refusal: TargetRefusal | None = None
         self.phase = SessionPhase.IDLE
         self.point: Point | None = None
 
-    def take(self, word: str, rest: str) -> bool:
-        """Take in one message; tell whether its word is known."""
+    def add_message(self, word: str, rest: str) -> bool:
+        """Add one message; return whether its word is known."""
         if word == 'ROW':
             self.rows.append(rest)
         elif word == 'COMPLETE':
             self.signature = rest
         elif word == 'ERROR':
-            self.refusal = _read_refusal(rest)
-            self.is_whole = self.refusal.kind in _CLOSING
+            self.refusal = _parse_refusal(rest)
+            self.is_complete = self.refusal.kind in _CLOSING_REFUSALS
         elif word == 'READY':
-            phase, place = split_line(rest, 1)
+            phase, point_text = split_line(rest, 1)
             self.phase = _PHASES.get(phase, SessionPhase.FAILED)
-            self.point = read_point(place)
-            self.is_whole = True
+            self.point = parse_point(point_text)
+            self.is_complete = True
         else:
             return False
         return True
 
 
 class WireTargetSession(TargetSession):
-    """Speak the databases' protocol on one connection."""
+    """Run statements over the line protocol on one connection."""
 
     def __init__(
         self,
@@ -108,17 +108,17 @@
         reader: StreamReader,
         writer: StreamWriter,
     ) -> None:
-        """Own an open connection."""
+        """Take over an open connection."""
         self.point: Point | None = None
         self._target = target
         self._reader = reader
         self._writer = writer
 
     async def start(self, group: GroupId, customer: CustomerId) -> None:
-        """Say who is meant and for whom; raise as connect() does."""
+        """Send the group, customer and target; raise as connect() does."""
         target = self._target.name
         self._writer.write(
-            make_line('START', group, customer or CALLER, target)
+            make_line('START', group, customer or DEFAULT_CUSTOMER, target)
         )
         try:
             reply = await self._read_reply()
@@ -136,11 +136,11 @@
         text: str,
         after: Point | None = None,
     ) -> TargetReply:
-        """Run a caller's own text under its id."""
+        """Run the text of a caller's statement under its statement id."""
         if self._writer.is_closing() or self._reader.at_eof():
             raise TargetGone(self._target.name, 'closed while idle')
         self._writer.write(
-            make_line('QUERY', statement, make_after(after, text)),
+            make_line('QUERY', statement, add_point_condition(after, text)),
         )
         return await self._read_reply()
 
@@ -151,21 +151,21 @@
         arguments: str,
         after: Point | None = None,
     ) -> TargetReply:
-        """Run what was prepared on this connection."""
+        """Run a statement that was prepared on this connection."""
         text = make_execute(prepared, arguments)
         return await self.run(statement, text, after)
 
     async def prepare(self, prepared: PreparedStatement) -> TargetReply:
-        """Prepare a statement under a name of this connection's own."""
-        return await self.run(OWN_ID, make_prepare(prepared))
+        """Prepare a statement under a name derived from its content."""
+        return await self.run(PROXY_STATEMENT_ID, make_prepare(prepared))
 
     async def set_value(self, name: str, value: str) -> TargetReply:
         """Set one session value."""
-        return await self.run(OWN_ID, f'SET {name} {value}')
+        return await self.run(PROXY_STATEMENT_ID, f'SET {name} {value}')
 
     async def reset(self) -> TargetReply:
-        """Drop all session values and prepared statements."""
-        return await self.run(OWN_ID, 'RESET')
+        """Clear all session values and prepared statements."""
+        return await self.run(PROXY_STATEMENT_ID, 'RESET')
 
     async def begin(
         self,
@@ -175,74 +175,74 @@
     ) -> TargetReply:
         """Open a transaction."""
         text = 'BEGIN READ' if is_read_only else 'BEGIN'
-        return await self.run(OWN_ID, text, after)
+        return await self.run(PROXY_STATEMENT_ID, text, after)
 
     async def roll_back(self) -> TargetReply:
-        """Undo the open transaction."""
-        return await self.run(OWN_ID, 'ROLLBACK')
+        """Roll back the open transaction."""
+        return await self.run(PROXY_STATEMENT_ID, 'ROLLBACK')
 
     async def read_status(self) -> LogStatus | None:
-        """Ask for the log's state; None when the target is too busy."""
-        return await self._order('STATUS')
+        """Return the state of the log; None if the target is too busy."""
+        return await self._run_control('STATUS')
 
     async def pause_replication(self, term: Term) -> LogStatus | None:
-        """Stop a replica from receiving, for a `term` above the newest."""
-        return await self._order(f'PAUSE {term}')
+        """Pause replication on a replica, for a `term` above the newest."""
+        return await self._run_control(f'PAUSE {term}')
 
     async def resume_replication(self) -> LogStatus | None:
-        """Let a paused replica receive again."""
-        return await self._order('RESUME')
+        """Resume replication on a paused replica."""
+        return await self._run_control('RESUME')
 
     async def demote(self, term: Term) -> LogStatus | None:
-        """Make a primary of a lower term a replica."""
-        return await self._order(f'DEMOTE {term}')
+        """Make a primary of a term below `term` a replica."""
+        return await self._run_control(f'DEMOTE {term}')
 
     async def close(self) -> None:
-        """Drop the connection at once; closing twice does no harm."""
+        """Abort the connection; closing it twice has no effect."""
         self._writer.transport.abort()
 
-    async def _order(self, text: str) -> LogStatus | None:
-        reply = await self.run(OWN_ID, text)
+    async def _run_control(self, text: str) -> LogStatus | None:
+        reply = await self.run(PROXY_STATEMENT_ID, text)
         if reply.refusal is not None or not reply.rows:
             return None
-        return _read_status(reply.rows[0])
+        return _parse_status(reply.rows[0])
 
     async def _read_reply(self) -> TargetReply:
-        draft = _ReplyDraft()
-        while not draft.is_whole:
+        builder = _ReplyBuilder()
+        while not builder.is_complete:
             line = await self._read_line()
-            word, _, rest = line.partition(BLANK)
-            if not draft.take(word, rest):
-                raise self._lose(f'said "{word[:20]}"')
-        self.point = draft.point or self.point
+            word, _, rest = line.partition(FIELD_SEPARATOR)
+            if not builder.add_message(word, rest):
+                raise self._abort(f'said "{word[:20]}"')
+        self.point = builder.point or self.point
         return TargetReply(
-            tuple(draft.rows),
-            draft.phase,
+            tuple(builder.rows),
+            builder.phase,
             self.point,
-            draft.signature,
-            draft.refusal,
+            builder.signature,
+            builder.refusal,
         )
 
     async def _read_line(self) -> str:
         try:
             line = await read_line(self._reader)
         except (OSError, MessageTooLong, MessageMalformed) as failure:
-            raise self._lose(str(failure)) from failure
+            raise self._abort(str(failure)) from failure
         if line is None:
-            raise self._lose('closed the connection')
+            raise self._abort('closed the connection')
         return line
 
-    def _lose(self, reason: str) -> TargetLost:
+    def _abort(self, reason: str) -> TargetLost:
         self._writer.transport.abort()
         return TargetLost(self._target.name, reason)
 
 
-# After these, said in answer to a start, the connection is closed.
-_CLOSING = frozenset((RefusalKind.WRONG_TARGET, RefusalKind.TOO_MANY))
+# After these refusals of a START, the target closes the connection.
+_CLOSING_REFUSALS = frozenset((RefusalKind.WRONG_TARGET, RefusalKind.TOO_MANY))
 
 
 class WireTargetConnector(TargetSessionConnector):
-    """Open sessions with the platform's databases."""
+    """Open sessions with databases over the line protocol."""
 
     async def connect(
         self,
@@ -281,18 +281,19 @@
         return session
 
 
-def _read_refusal(rest: str) -> TargetRefusal:
+def _parse_refusal(rest: str) -> TargetRefusal:
     code, reason = split_line(rest, 1)
     kind = _REFUSALS.get(code, RefusalKind.MALFORMED)
     return TargetRefusal(kind, f'{code} {reason}'.strip())
 
 
-def _read_status(row: str) -> LogStatus:
-    # Role, term, place received, term held, lag in ms, busy, connections.
+def _parse_status(row: str) -> LogStatus:
+    # Role, term, received log position, held term, lag in ms, busy,
+    # connections.
     fields = row.split()
     return LogStatus(
         LogRole.PRIMARY if fields[0] == PRIMARY_ROLE else LogRole.REPLICA,
         Term(int(fields[1])),
-        read_point(fields[2]) or ORIGIN,
+        parse_point(fields[2]) or ORIGIN,
         Term(int(fields[3])),
     )
