--- a/tests/features/platform_bench.py
+++ b/tests/features/platform_bench.py
@@ -1,6 +1,6 @@
-"""Run proxies as processes against stand-ins on loopback."""
+"""Run proxy processes against test doubles on loopback."""
 
-import subprocess  # the test starts proxies as the platform does
+import subprocess  # tests start proxies as separate processes
 import sys
 from asyncio import StreamReader, StreamWriter, open_connection, sleep
 from collections.abc import Callable
@@ -33,10 +33,10 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 GROUP = GroupId('songbook')
 ZONES = ('east', 'north', 'west')
-START_LIMIT = 10
-END_LIMIT = 12
-GRACE = 3
-LOOK_EVERY = 0.05
+WAIT_TIMEOUT = 10
+EXIT_TIMEOUT = 12
+GRACE_SECONDS = 3
+POLL_INTERVAL = 0.05
 
 CONFIGURATION: dict[str, Any] = {
     'version': 7,
@@ -67,10 +67,10 @@
 
 
 class Platform:
-    """Stand in for the store, the promotions and the databases."""
+    """Simulate the store, the promotion service and the databases."""
 
     def __init__(self, loop: LoopThread) -> None:
-        """Run in `loop` once started."""
+        """Set the event loop; start() starts the servers."""
         self._loop = loop
         self._owned = AsyncExitStack()
         self.front: MetadataFront
@@ -78,24 +78,24 @@
         self.port = 0
 
     def start(self) -> None:
-        """Start with three databases and the routes declared."""
+        """Start three databases and publish the configuration."""
         self._loop.run(self._start())
 
     def close(self) -> None:
-        """End all."""
+        """Stop all servers."""
         self._loop.run(self._owned.aclose())
 
     def is_owned(self) -> bool:
-        """Tell whether a proxy owns the group."""
+        """Return whether a proxy owns the group."""
         store = self.front.service.store
         return bool(store.list_matching(make_owner_key(GROUP).__eq__).pairs)
 
     def publish(self, key: str, document: object) -> None:
-        """Write as the operator or a database does."""
+        """Write a document to the store as its owner does."""
         self._loop.run(self._publish(key, document))
 
     async def publish_all(self) -> None:
-        """Write what the operator and the databases write."""
+        """Publish the documents of the operator and the databases."""
         await self._publish('op/config', CONFIGURATION)
         for target in self.group.targets.values():
             await self._publish(f'servers/{target.name}', _describe(target))
@@ -108,10 +108,10 @@
         network = Network()
         self.group = StatementGroup(network)
         self._owned.callback(self.group.close)
-        for place, zone in enumerate(ZONES):
+        for number, zone in enumerate(ZONES):
             name = TargetId(f'db-{zone}')
             target = StatementTarget(name, Place(name, zone), 0)
-            if place == 0:
+            if number == 0:
                 target.role = LogRole.PRIMARY
             self.group.add(target)
         databases = StatementFront(self.group)
@@ -122,7 +122,7 @@
         await self._listen()
 
     def move(self) -> None:
-        """Serve the same store at another address too."""
+        """Serve the same store at a second address, too."""
         self._loop.run(self._listen())
 
     async def _listen(self) -> None:
@@ -139,10 +139,10 @@
 
 
 class Caller:
-    """Speak the wire protocol with one proxy."""
+    """Send statements to one proxy over the wire protocol."""
 
     def __init__(self, loop: LoopThread, port: int) -> None:
-        """Speak in `loop`."""
+        """Set the event loop and port; open() connects."""
         self._loop = loop
         self._port = port
         self._reader: StreamReader
@@ -150,13 +150,13 @@
         self._count = 0
 
     def connect(self, database: str) -> list[str]:
-        """Open a session; return what the proxy says to it."""
+        """Open a session and return the proxy's response."""
         self.open()
         self.send(f'START {database} tester\r\n'.encode())
         return self.read()
 
     def open(self) -> None:
-        """Open a connection and say nothing."""
+        """Open a connection without sending data."""
         opened = self._loop.run(open_connection(HOST, self._port))
         self._reader = opened[0]
         self._writer = opened[1]
@@ -168,15 +168,15 @@
         return self.read()
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self._loop.run(self._send(data))
 
     def read(self) -> list[str]:
-        """Return the lines up to READY, or to the connection's end."""
+        """Return the lines up to READY or the end of the connection."""
         return self._loop.run(self._read())
 
     def end(self) -> None:
-        """Say that nothing more comes."""
+        """Send end of stream."""
         self._loop.run(self._end())
 
     async def _send(self, data: bytes) -> None:
@@ -195,10 +195,10 @@
 
 
 class ProxyUnderTest:
-    """Own one proxy's process."""
+    """Manage the process of one proxy."""
 
     def __init__(self, folder: Path, name: str, store_port: int) -> None:
-        """Write its settings; nothing runs yet."""
+        """Write the settings; start() starts the process."""
         self.name = name
         self.ports = {
             use: find_port()
@@ -210,12 +210,12 @@
         self._child: subprocess.Popen[bytes]
 
     def write_settings(self, store_port: int, more: str = '') -> None:
-        """Write the settings file anew."""
+        """Overwrite the settings file."""
         zone = self.name.partition('-')[0]
         lines = [
             f'name = "{self.name}"',
             f'zone = "{zone}"',
-            f'grace_seconds = {GRACE}',
+            f'grace_seconds = {GRACE_SECONDS}',
             more,
         ]
         ports = {**self.ports, 'store': store_port, 'promotions': store_port}
@@ -240,18 +240,18 @@
             )
 
     def wait_ready(self) -> None:
-        """Wait until the balancer would send callers here."""
+        """Wait until the readiness page reports ready."""
         self.wait_until(
             lambda: self.fetch('readiness', '/ready')[0] == HTTPStatus.OK,
         )
 
     def wait_line(self, event: str) -> dict[str, Any]:
-        """Return the first line of its log that is of a kind."""
+        """Wait for a log line with this event and return the first one."""
         self.wait_until(lambda: bool(self.list_lines(event)))
         return self.list_lines(event)[0]
 
     def list_lines(self, event: str) -> list[dict[str, Any]]:
-        """Return the lines of its log that are of a kind."""
+        """Return the log lines with this event."""
         lines = self.output.read_text().splitlines()
         documents = [
             decode(line, type=dict[str, Any])
@@ -261,7 +261,7 @@
         return [line for line in documents if line.get('message_type') == event]
 
     def fetch(self, use: str, path: str) -> tuple[int, str]:
-        """Return the status and body of a page, 0 when there is none."""
+        """Return the status and body of a page; status 0 if unreachable."""
         url = f'http://{HOST}:{self.ports[use]}{path}'
         try:
             with urlopen(url, timeout=2) as reply:
@@ -272,37 +272,37 @@
             return 0, ''
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self._child.send_signal(number)
 
     def wait_end(self) -> int:
-        """Return the exit code once the process has ended."""
-        return self._child.wait(END_LIMIT)
+        """Wait for the process to exit and return its exit code."""
+        return self._child.wait(EXIT_TIMEOUT)
 
     def is_running(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process is running."""
         return self._child.poll() is None
 
     def close(self) -> None:
-        """End the process at once."""
+        """Kill the process if it is running."""
         if self.is_running():
             self._child.kill()
             self._child.wait()
 
     def wait_until(self, is_met: Callable[[], bool]) -> None:
-        """Wait until something holds; fail with the log otherwise."""
-        give_up = monotonic() + START_LIMIT
+        """Wait until `is_met` holds; at the timeout, fail with the log."""
+        deadline = monotonic() + WAIT_TIMEOUT
         while not is_met():
-            told = self.output.read_text() if self.output.exists() else ''
-            assert monotonic() < give_up, told[-2000:]
+            log = self.output.read_text() if self.output.exists() else ''
+            assert monotonic() < deadline, log[-2000:]
             pause()
 
 
 class PlatformBench:
-    """Hold the stand-ins, the proxies and their callers."""
+    """Set up the simulated platform, the proxies and their callers."""
 
     def __init__(self) -> None:
-        """Start the stand-ins."""
+        """Start the simulated platform."""
         self.loop = LoopThread()
         self.platform = Platform(self.loop)
         self.platform.start()
@@ -310,18 +310,18 @@
         self.proxies: dict[str, ProxyUnderTest] = {}
 
     def add(self, name: str) -> ProxyUnderTest:
-        """Prepare a proxy."""
+        """Write the settings of a proxy and return it, not started."""
         folder = Path(self._folder.name)
         proxy = ProxyUnderTest(folder, name, self.platform.port)
         self.proxies[name] = proxy
         return proxy
 
     def call(self, proxy: str) -> Caller:
-        """Return a caller of a proxy."""
+        """Return a caller of a proxy, not connected."""
         return Caller(self.loop, self.proxies[proxy].ports['callers'])
 
     def close(self) -> None:
-        """End all."""
+        """Stop all proxies and the simulated platform."""
         for proxy in self.proxies.values():
             proxy.close()
         self.platform.close()
@@ -329,13 +329,13 @@
         self._folder.cleanup()
 
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the event loop for some seconds."""
         self.loop.run(sleep(seconds))
 
 
 def pause() -> None:
-    """Wait a moment before something is looked at again."""
-    wait_for(LOOK_EVERY)
+    """Sleep for one poll interval."""
+    wait_for(POLL_INTERVAL)
 
 
 def _describe(target: StatementTarget) -> dict[str, Any]:
--- a/tests/features/platform_process.feature
+++ b/tests/features/platform_process.feature
@@ -1,12 +1,12 @@
-Feature: Proxies as processes on the users' platform
-  Processes speak with callers, databases and the store over sockets.
+Feature: Proxy processes on the users' platform
+  Processes communicate with callers, databases and the store over sockets.
 
   Scenario: Callers of two proxies see the same data
     Given processes "east-1, west-1"
     When a caller of "kigali" at "east-1" runs "WRITE turn 7" over the wire
-    Then the wire answers "COMPLETE db-east/"
+    Then the wire response starts with "COMPLETE db-east/"
     When a caller of "kigali" at "west-1" runs "READ turn" over the wire
-    Then the wire answers "ROW 7"
+    Then the wire response starts with "ROW 7"
 
   Scenario: A transaction and prepared statements over the wire
     Given processes "east-1, west-1"
@@ -22,12 +22,13 @@
       | DEALLOC put           | COMPLETE | I     |
       | EXECUTE put turn 1    | ERROR    | I     |
 
-  Scenario Outline: What is no message ends its own session only
-    The caller is told what is wrong. Another caller notices nothing.
+  Scenario Outline: Invalid input ends only its own session
+    The sender receives an error where the protocol has one. Other callers are
+    not affected.
     Given processes "east-1"
     And another caller of "kigali" at "east-1" over the wire
-    When "<bytes>" comes in at "<use>" of "east-1"
-    Then it is told "<code>"
+    When "<bytes>" is sent to "<use>" of "east-1"
+    Then the sender receives "<code>"
     And the connection is closed
     And the other caller is served within 300 ms
 
@@ -35,7 +36,7 @@
       | bytes                | use       | code               |
       | no session           | callers   | ERROR MALFORMED    |
       | no text              | callers   | ERROR MALFORMED    |
-      | a word of no session | callers   | ERROR MALFORMED    |
+      | an unknown message   | callers   | ERROR MALFORMED    |
       | an endless line      | callers   | ERROR TOOBIG       |
       | an unknown database  | callers   | ERROR NODB         |
       | half a line          | callers   |                    |
@@ -44,7 +45,7 @@
       | no HTTP              | readiness |                    |
       | no HTTP              | metrics   |                    |
 
-  Scenario: An unknown statement is answered, and the session goes on
+  Scenario: An unknown statement gets an error and the session stays open
     Given processes "east-1"
     When a caller of "kigali" at "east-1" runs these over the wire
       | text         | answer          | state |
@@ -52,45 +53,45 @@
       | BEGIN LATER  | ERROR MALFORMED | I     |
       | WRITE turn 1 | COMPLETE        | I     |
 
-  Scenario: A caller that reads nothing holds up nobody
-    Its answers fill the sockets' buffers; from then on its next statement waits.
+  Scenario: A caller that does not read does not block others
+    Its answers fill the socket buffers; then its next statement has to wait.
     Given processes "east-1"
     And another caller of "kigali" at "east-1" over the wire
     When a caller of "kigali" at "east-1" sends 20000 reads
     Then the other caller is served within 300 ms
 
-  Scenario: As many callers as there are descriptors for
-    Each one more would take a descriptor that a target or peer needs. It is told
-    so at once and may go elsewhere; those who are there are served.
+  Scenario: The descriptor limit bounds the number of callers
+    More callers would use descriptors that targets and peers need. They are
+    rejected at once and can try another proxy; connected callers are served.
     Given processes "east-1"
     And another caller of "kigali" at "east-1" over the wire
     When 100 callers open sessions at "east-1"
-    Then 69 of them are let in
-    And the others are told "ERROR TOOMANY"
+    Then 69 of them are accepted
+    And the others receive "ERROR TOOMANY"
     And the other caller is served within 300 ms
 
   Scenario: A graceful stop
-    At SIGTERM the balancer is told, a caller without a request is sent on, and
-    a transaction gets the time to commit. Then the process ends by itself.
+    At SIGTERM the readiness page fails, idle callers are disconnected, and an
+    open transaction has time to commit. Then the process exits.
     Given processes "east-1, west-1"
     And another caller of "kigali" at "east-1" over the wire
     And a caller of "kigali" at "east-1" has begun over the wire
     When "east-1" gets SIGTERM
-    Then the page "/ready" of "east-1" says 503
+    Then the page "/ready" of "east-1" returns 503
     When the transaction commits over the wire
-    Then the wire answers "COMPLETE db-east/"
-    And the other caller is told "ERROR BUSY"
-    And process "east-1" has ended with 0
+    Then the wire response starts with "COMPLETE db-east/"
+    And the other caller receives "ERROR BUSY"
+    And process "east-1" has exited with 0
     And the log of "east-1" has "proxy-stopped"
     And the log of "east-1" has no "eliot:traceback"
     When a caller of "kigali" at "west-1" runs "READ turn" over the wire
-    Then the wire answers "ROW 1"
+    Then the wire response starts with "ROW 1"
 
-  Scenario: Settings are taken in again
-    What can change while running does; the line names what needs a restart. A
-    file with mistakes changes nothing and is said to be wrong.
+  Scenario: Settings are reloaded
+    Settings that can change at run time are applied; the log line names those
+    that need a restart. An invalid file changes nothing and is reported.
     Given processes "east-1"
-    When the settings of "east-1" lose their store and it gets SIGHUP
+    When the store is removed from the settings of "east-1" and it gets SIGHUP
     Then its log line "settings-reloaded" names "store is missing"
     And a caller of "kigali" at "east-1" is served within 300 ms
 
@@ -100,33 +101,34 @@
     Then its log line "settings-reloaded" names "store"
     And calls arrive at the second address
 
-  Scenario: A call is under way while the store moves
-    Its connection leads to where the store was; the next call must not take it.
+  Scenario: The store moves during a call
+    The call's connection leads to the old address; the next call must not reuse
+    it.
     Given a call that a service answers after 0.2 s
-    When the service moves meanwhile
+    When the service moves during the call
     Then the next call arrives at its new address
 
-  Scenario: Metrics tell what happened
+  Scenario: Metrics count requests
     Given processes "east-1"
     When a caller of "kigali" at "east-1" runs "WRITE turn 7" over the wire
     Then the metrics of "east-1" have "sedgeshunt_requests_done_total 1.0"
     And the metrics of "east-1" have "sedgeshunt_groups_owned 1.0"
     And the metrics of "east-1" have "sedgeshunt_requests_write_seconds_bucket"
 
-  Scenario: A proxy starts while the store refuses it
-    Callers come as soon as the store answers, with no start anew.
+  Scenario: A proxy starts while the store is unavailable
+    It becomes ready once the store answers, without a restart.
     Given the store answers 503
-    And processes "east-1" that wait
-    Then the page "/ready" of "east-1" says 503
+    And processes "east-1" that are not ready
+    Then the page "/ready" of "east-1" returns 503
     When the store answers again
-    Then the page "/ready" of "east-1" says 200
+    Then the page "/ready" of "east-1" returns 200
     When a proxy owns the group
     And a caller of "kigali" at "east-1" runs "WRITE turn 7" over the wire
-    Then the wire answers "COMPLETE db-east/"
+    Then the wire response starts with "COMPLETE db-east/"
 
-  Scenario: Bad settings are named, all at once
+  Scenario: All invalid settings are reported at once
     Given settings with mistakes
-    Then the process ends with code 3 and names
+    Then the process exits with code 3 and reports
       | problem                  |
       | store is missing         |
       | colour is unknown        |
--- a/tests/features/steps/platform_process_steps.py
+++ b/tests/features/steps/platform_process_steps.py
@@ -1,4 +1,4 @@
-"""Check proxies as processes, over sockets."""
+"""Check proxy processes over their sockets."""
 
 from asyncio import create_task, sleep
 from contextlib import AsyncExitStack
@@ -28,11 +28,11 @@
 )
 from tests.standins.statement_front import HOST
 
-# What comes in, by its name in the feature.
-BYTES = {
+# Input bytes by their name in the feature.
+INPUTS = {
     'no session': b'QUERY q1 READ turn\r\n',
     'no text': b'\xff\xfe\xfd\r\n',
-    'a word of no session': b'START kigali tester\r\nHELLO there\r\n',
+    'an unknown message': b'START kigali tester\r\nHELLO there\r\n',
     'an endless line': b'x' * (MAX_MESSAGE_BYTES + 1),
     'an unknown database': b'START nowhere tester\r\n',
     'half a line': b'START kig',
@@ -40,12 +40,12 @@
     'a frame without end': b'\xff\xff\xff\xff',
     'no HTTP': b'\x00\x01\x02\r\n\r\n',
 }
-# A table row's answer begins with this, and the session is then in a state.
+# Table columns: start of the answer, and session state after it.
 ANSWER, STATE = 'answer', 'state'
 
 
 def open_platform(context: Any) -> PlatformBench:
-    """Return the scenario's bench, which ends with it."""
+    """Return the bench of the scenario; its end closes the bench."""
     if not hasattr(context, 'platform'):
         context.platform = PlatformBench()
         context.add_cleanup(context.platform.close)
@@ -53,7 +53,7 @@
     return bench
 
 
-@given('processes "{names}" that wait')
+@given('processes "{names}" that are not ready')
 def start_processes(context: Any, names: str) -> None:
     bench = open_platform(context)
     for name in names.split(', '):
@@ -113,31 +113,31 @@
         assert lines[-1].startswith(f'READY {row[STATE]}'), (row['text'], lines)
 
 
-@then('the wire answers "{line}"')
+@then('the wire response starts with "{line}"')
 def check_line(context: Any, line: str) -> None:
     assert context.lines[0].startswith(line), context.lines
 
 
-@when('"{name}" comes in at "{use}" of "{proxy}"')
+@when('"{name}" is sent to "{use}" of "{proxy}"')
 def send_bytes(context: Any, name: str, use: str, proxy: str) -> None:
     port = context.platform.proxies[proxy].ports[use]
     context.caller = Caller(context.platform.loop, port)
     context.caller.open()
-    context.caller.send(BYTES[name])
+    context.caller.send(INPUTS[name])
     if name == 'half a line':
         context.caller.end()
 
 
-@then('it is told "{code}"')
-def check_told(context: Any, code: str) -> None:
+@then('the sender receives "{code}"')
+def check_response(context: Any, code: str) -> None:
     context.lines = context.caller.read()
     if context.lines and context.lines[0].startswith('READY'):
         context.lines = context.caller.read()
     assert context.lines[0].startswith(code), context.lines
 
 
-@then('it is told ""')
-def check_told_nothing(context: Any) -> None:
+@then('the sender receives ""')
+def ignore_response(context: Any) -> None:
     context.lines = []
 
 
@@ -169,18 +169,20 @@
 @when('{count:d} callers open sessions at "{proxy}"')
 def open_many(context: Any, count: int, proxy: str) -> None:
     callers = [context.platform.call(proxy) for _ in range(count)]
-    context.told = [caller.connect('kigali')[0] for caller in callers]
+    context.responses = [caller.connect('kigali')[0] for caller in callers]
 
 
-@then('{count:d} of them are let in')
-def check_let_in(context: Any, count: int) -> None:
-    let_in = [line for line in context.told if line.startswith('READY')]
-    assert len(let_in) == count, len(let_in)
+@then('{count:d} of them are accepted')
+def check_accepted(context: Any, count: int) -> None:
+    accepted = [line for line in context.responses if line.startswith('READY')]
+    assert len(accepted) == count, len(accepted)
 
 
-@then('the others are told "{code}"')
+@then('the others receive "{code}"')
 def check_others(context: Any, code: str) -> None:
-    others = [line for line in context.told if not line.startswith('READY')]
+    others = [
+        line for line in context.responses if not line.startswith('READY')
+    ]
     assert others
     assert all(line.startswith(code) for line in others), others
 
@@ -190,19 +192,19 @@
     context.platform.proxies[proxy].signal(SIGTERM)
 
 
-@then('the page "{path}" of "{proxy}" says {status:d}')
+@then('the page "{path}" of "{proxy}" returns {status:d}')
 def check_page(context: Any, path: str, proxy: str, status: int) -> None:
-    known = context.platform.proxies[proxy]
-    known.wait_until(lambda: known.fetch('readiness', path)[0] == status)
+    process = context.platform.proxies[proxy]
+    process.wait_until(lambda: process.fetch('readiness', path)[0] == status)
 
 
-@then('the other caller is told "{code}"')
-def check_other_told(context: Any, code: str) -> None:
+@then('the other caller receives "{code}"')
+def check_other_response(context: Any, code: str) -> None:
     lines = context.other.read()
     assert lines[0].startswith(code), lines
 
 
-@then('process "{proxy}" has ended with {code:d}')
+@then('process "{proxy}" has exited with {code:d}')
 def check_end(context: Any, proxy: str, code: int) -> None:
     assert context.platform.proxies[proxy].wait_end() == code
 
@@ -218,7 +220,7 @@
     context.platform.proxies[proxy].wait_line(event)
 
 
-@when('the settings of "{proxy}" lose their store and it gets SIGHUP')
+@when('the store is removed from the settings of "{proxy}" and it gets SIGHUP')
 def break_settings(context: Any, proxy: str) -> None:
     context.proxy = context.platform.proxies[proxy]
     text = context.proxy.settings.read_text()
@@ -248,8 +250,8 @@
 
 @then('the metrics of "{proxy}" have "{text}"')
 def check_metrics(context: Any, proxy: str, text: str) -> None:
-    known: ProxyUnderTest = context.platform.proxies[proxy]
-    assert text in known.fetch('metrics', '/metrics')[1]
+    process: ProxyUnderTest = context.platform.proxies[proxy]
+    assert text in process.fetch('metrics', '/metrics')[1]
 
 
 @given('the store answers {status:d}')
@@ -271,13 +273,13 @@
     context.proxy.settings.write_text(text.replace('[store]', '[shop]'))
 
 
-@then('the process ends with code {code:d} and names')
+@then('the process exits with code {code:d} and reports')
 def check_mistakes(context: Any, code: int) -> None:
     context.proxy.start()
     assert context.proxy.wait_end() == code
-    told = context.proxy.output.read_text()
+    log = context.proxy.output.read_text()
     for row in context.table:
-        assert row['problem'] in told, told
+        assert row['problem'] in log, log
 
 
 @given('a call that a service answers after {seconds:g} s')
@@ -285,12 +287,12 @@
     context.loop = LoopThread()
     context.add_cleanup(context.loop.close)
     context.seen = []
-    context.slowness = seconds
+    context.delay = seconds
 
 
-@when('the service moves meanwhile')
+@when('the service moves during the call')
 def move_service(context: Any) -> None:
-    context.loop.run(_call_while_moved(context))
+    context.loop.run(_move_during_call(context))
 
 
 @then('the next call arrives at its new address')
@@ -298,14 +300,14 @@
     assert context.seen == ['old', 'new'], context.seen
 
 
-async def _call_while_moved(context: Any) -> None:
+async def _move_during_call(context: Any) -> None:
     async with AsyncExitStack() as owned:
         old = await _serve_as(context, 'old', owned)
         new = await _serve_as(context, 'new', owned)
         client = JsonClient([old], keeps_connections=True)
         owned.push_async_callback(client.close)
         call = create_task(client.exchange('GET', '/'))
-        await sleep(context.slowness / 2)
+        await sleep(context.delay / 2)
         client.move(new)
         await call
         await client.exchange('GET', '/')
@@ -318,7 +320,7 @@
 ) -> Address:
     async def answer(_request: Request) -> Response:
         context.seen.append(name)
-        await sleep(context.slowness)
+        await sleep(context.delay)
         return json_response({})
 
     application = Application()
@@ -336,8 +338,8 @@
 
 
 def _check_served(caller: Caller, limit: int) -> None:
-    began = monotonic()
+    started_at = monotonic()
     lines = caller.ask('READ turn')
-    spent = (monotonic() - began) * 1000
+    elapsed_ms = (monotonic() - started_at) * 1000
     assert lines[-1].startswith('READY I'), lines
-    assert spent < limit, spent
+    assert elapsed_ms < limit, elapsed_ms
--- a/tests/standins/keyvalues.py
+++ b/tests/standins/keyvalues.py
@@ -1,4 +1,4 @@
-"""Keep revisions, leases and changes of the key-value stand-in."""
+"""Implement the storage of the key-value test double."""
 
 from asyncio import TimerHandle, get_running_loop
 from collections import deque
@@ -21,17 +21,17 @@
 from tests.standins.network import Signal
 
 Matcher = Callable[[str], bool]
-# Copies that are kept to come back from.
-MOST_COPIES = 500
+# Copies that are kept for restore_copy().
+MAX_COPIES = 500
 
 
 class LeaseNotFound(PlatformUnavailable):
-    """Say that a key can't be bound to a lapsed lease."""
+    """Signal that a key can't be bound to an expired lease."""
 
 
 @dataclass(slots=True)
 class Lease:
-    """Hold a lease's time to live in seconds, its timer and its keys."""
+    """Hold the time to live in seconds, the timer and the bound keys."""
 
     ttl: float
     timer: TimerHandle
@@ -40,33 +40,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """Hold the store as it was at one moment."""
+    """Hold a copy of the store's content at one time."""
 
     at: float
     revision: Revision
     pairs: dict[str, KeyValue]
-    # Time to live and keys of each lease.
+    # Time to live in seconds and bound keys of each lease.
     leases: dict[int, tuple[float, frozenset[str]]]
     last_lease: int
 
 
 class KeyValueStore:
-    """Apply transactions to all keys, one revision each."""
+    """Store keys and leases; each transaction creates one revision."""
 
     def __init__(self) -> None:
-        """Start empty at revision 1, as a new service does."""
+        """Start empty at revision 1, like a new store."""
         self.revision = Revision(1)
         self.compacted = Revision(0)
         self.changed = Signal()
         self.era = FIRST_ERA
-        self._copies: deque[Copy] = deque(maxlen=MOST_COPIES)
+        self._copies: deque[Copy] = deque(maxlen=MAX_COPIES)
         self._pairs: dict[str, KeyValue] = {}
         self._events: list[WatchEvent] = []
         self._leases: dict[int, Lease] = {}
         self._last_lease = 0
 
     def list_matching(self, matches: Matcher) -> Listing:
-        """Read the pairs whose keys match, in the order of keys."""
+        """Return the pairs whose keys match, sorted by key."""
         keys = sorted(filter(matches, self._pairs))
         return Listing(self.revision, [self._pairs[key] for key in keys])
 
@@ -75,13 +75,13 @@
         compares: Iterable[Compare],
         changes: Sequence[Put | Delete],
     ) -> CommitResult:
-        """Apply all or nothing; raise LeaseNotFound."""
+        """Apply all changes or none; raise LeaseNotFound."""
         leases = {change.lease for change in changes if isinstance(change, Put)}
         if not leases <= {None, *self._leases}:
             raise LeaseNotFound('requested lease not found')
-        demanded = tuple(compares)
-        if not all(map(self._holds, demanded)):
-            keys = {compare.key for compare in demanded}
+        conditions = tuple(compares)
+        if not all(map(self._is_met, conditions)):
+            keys = {compare.key for compare in conditions}
             return CommitResult(
                 succeeded=False,
                 revision=self.revision,
@@ -95,7 +95,7 @@
         after: Revision,
         matches: Matcher,
     ) -> list[WatchEvent]:
-        """List the changes past `after`; raise WatchCompacted."""
+        """Return the changes past `after`; raise WatchCompacted."""
         if after < self.compacted or after > self.revision:
             raise WatchCompacted
         return [
@@ -105,12 +105,12 @@
         ]
 
     def compact(self) -> None:
-        """Forget all changes up to now."""
+        """Discard the history of changes up to now."""
         self.compacted = self.revision
         self._events.clear()
 
     def grant_lease(self, ttl: float) -> int:
-        """Return a new lease's id."""
+        """Create a lease and return its id."""
         self._last_lease += 1
         lease = self._last_lease
         self._leases[lease] = Lease(ttl, self._start_timer(lease, ttl))
@@ -118,7 +118,7 @@
         return lease
 
     def keep_lease(self, lease: int) -> float:
-        """Renew a lease and return its time to live, 0 if it has lapsed."""
+        """Renew a lease and return its time to live, 0 if it expired."""
         kept = self._leases.get(lease)
         if kept is None:
             return 0
@@ -127,7 +127,7 @@
         return kept.ttl
 
     def revoke_lease(self, lease: int) -> bool:
-        """End a lease with its keys; tell whether there was one."""
+        """End a lease and delete its keys; return whether it existed."""
         ended = self._leases.pop(lease, None)
         if ended is None:
             return False
@@ -136,14 +136,14 @@
         return True
 
     def expire_leases(self) -> None:
-        """End all leases, as when nobody has renewed them for long."""
+        """End all leases as if none had been renewed in time."""
         for lease in tuple(self._leases):
             self.revoke_lease(lease)
 
     def restore_copy(self, age: float) -> None:
-        """Become what the store was `age` seconds ago, in the next era.
+        """Restore the state of `age` seconds ago and start the next era.
 
-        Revisions and the ids of leases are given out again from there.
+        Revisions and lease ids after that state are issued again.
         """
         at = get_running_loop().time() - age
         copies = [copy for copy in self._copies if copy.at <= at]
@@ -182,7 +182,7 @@
     def _start_timer(self, lease: int, ttl: float) -> TimerHandle:
         return get_running_loop().call_later(ttl, self.revoke_lease, lease)
 
-    def _holds(self, compare: Compare) -> bool:
+    def _is_met(self, compare: Compare) -> bool:
         pair = self._pairs.get(compare.key)
         revision = 0 if pair is None else pair.revision
         return compare.revision == revision
@@ -192,7 +192,7 @@
         events = len(self._events)
         for change in changes:
             self._apply_one(change, revision)
-        # Deleting what isn't there makes no revision.
+        # Deleting an absent key creates no revision.
         if len(self._events) > events:
             self.revision = revision
             self._copy()
@@ -213,7 +213,7 @@
 
 
 def _read_time() -> float:
-    # Tests put objects before anything runs.
+    # Tests store objects before an event loop runs.
     try:
         return get_running_loop().time()
     except RuntimeError:
--- a/tests/standins/metadata_front.py
+++ b/tests/standins/metadata_front.py
@@ -1,4 +1,4 @@
-"""Serve the key-value stand-in as the users' platform does its store."""
+"""Serve the key-value test double over the platform's HTTP protocol."""
 
 from asyncio import sleep, timeout
 from base64 import b64decode, b64encode
@@ -39,31 +39,31 @@
 from tests.standins.platform import KeyValueStandIn
 from tests.standins.statement_group import StatementGroup
 
-# Items on one page of a listing; the platform's pages are longer.
-PAGE = 3
-ANYWHERE = Place('', '')
-ORDER_LIMIT = Seconds(1)
+# Items per page; fewer than on the platform, so that listings take several.
+PAGE_SIZE = 3
+ANY_PLACE = Place('', '')
+ORDER_TIMEOUT = Seconds(1)
 MILLISECONDS = 1000
-LOOK_EVERY = 0.05
+POLL_INTERVAL = 0.05
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class MetadataFront:
-    """Answer the calls of proxies to the store, and their orders."""
+    """Serve the store and the promotion service to proxies."""
 
     def __init__(self, service: KeyValueStandIn, group: StatementGroup) -> None:
         """Serve `service`; promote targets of `group`."""
         self.service = service
         self.group = group
-        # Every call is answered with this status, if set.
+        # If set, the status of every response.
         self.refusal: int | None = None
-        # No call is answered.
+        # While true, no call is answered.
         self.is_silent = False
         self.calls = 0
 
     def make_application(self) -> Application:
-        """Return an application that serves all paths."""
+        """Return an HTTP application with all routes."""
         application = Application()
         routes = (
             get('/kv-range', partial(self._serve, self._list)),
@@ -99,7 +99,7 @@
 
     async def _wait_silent(self) -> None:
         while self.is_silent:
-            await sleep(LOOK_EVERY)
+            await sleep(POLL_INTERVAL)
 
     async def _list(self, request: Request) -> Response:
         prefix = request.query['prefix']
@@ -108,8 +108,8 @@
         pairs = [pair for pair in listing.pairs if pair.key > after]
         return json_response(
             {
-                'items': [_write_pair(pair) for pair in pairs[:PAGE]],
-                'has_more': len(pairs) > PAGE,
+                'items': [_write_pair(pair) for pair in pairs[:PAGE_SIZE]],
+                'has_more': len(pairs) > PAGE_SIZE,
                 'at_revision': listing.revision,
             },
         )
@@ -144,7 +144,7 @@
         removed = [Delete(key) for key in body['remove']]
         changes: list[Put | Delete] = [*puts, *removed]
         result = await self.service.answer(
-            ANYWHERE,
+            ANY_PLACE,
             'commit',
             lambda: self.service.store.commit(compares, changes),
         )
@@ -177,9 +177,9 @@
             ProxyId(request.headers['X-Lease-Holder']),
             OwnerToken(int(request.headers['X-Fencing-Token'])),
         )
-        answer = await self.group.order(order, ORDER_LIMIT)
-        is_taken = answer is PromotionAnswer.ACCEPTED
-        return Response(status=200 if is_taken else 409)
+        answer = await self.group.order(order, ORDER_TIMEOUT)
+        is_accepted = answer is PromotionAnswer.ACCEPTED
+        return Response(status=200 if is_accepted else 409)
 
     def _describe(self, key: str) -> dict[str, Any]:
         pairs = self.service.store.list_matching(key.__eq__).pairs
