--- a/src/sedgeshunt/adapters/caller_connection.py
+++ b/src/sedgeshunt/adapters/caller_connection.py
@@ -26,7 +26,7 @@
 from sedgeshunt.identifiers import GroupId, Seconds, TraceId
 from sedgeshunt.logs import EventLog, LogLevel, ProcessEvent
 from sedgeshunt.requests.attributes import read_connect_attributes
-from sedgeshunt.requests.caller_session import CallerSessionFactory
+from sedgeshunt.requests.gate import CallerGate
 from sedgeshunt.requests.outcome import Cause, Refusal, Rejected, Unknown
 
 GREETING_TIMEOUT = Seconds(10)
@@ -40,7 +40,7 @@
 class CallerContext:
     """Hold what all callers of one proxy share."""
 
-    gate: CallerSessionFactory
+    gate: CallerGate
     greeter: Greeter
     log: EventLog
 
--- a/src/sedgeshunt/adapters/callers.py
+++ b/src/sedgeshunt/adapters/callers.py
@@ -20,7 +20,7 @@
 from sedgeshunt.logs import EventLog, LogLevel, ProcessEvent
 from sedgeshunt.ports import Address
 from sedgeshunt.requests.attribute_values import MAX_DEADLINE_MS
-from sedgeshunt.requests.caller_session import CallerSessionFactory
+from sedgeshunt.requests.gate import CallerGate
 
 MAX_CALLERS = 10_000
 BACKLOG = 1024
@@ -37,7 +37,7 @@
     def __init__(
         self,
         listen: Address,
-        gate: CallerSessionFactory,
+        gate: CallerGate,
         tls: SSLContext | None,
         users: Mapping[str, str],
         log: EventLog | None = None,
--- a/src/sedgeshunt/adapters/conversation.py
+++ b/src/sedgeshunt/adapters/conversation.py
@@ -13,9 +13,9 @@
 from sedgeshunt.identifiers import GroupId, Monotonic, TraceId
 from sedgeshunt.requests.attribute_values import Attributes
 from sedgeshunt.requests.attributes import read_attributes
-from sedgeshunt.requests.caller_session import (
+from sedgeshunt.requests.gate import (
+    CallerGate,
     CallerSession,
-    CallerSessionFactory,
 )
 from sedgeshunt.requests.outcome import Answer, Refusal
 from sedgeshunt.requests.request import Request, StatementKind
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        gate: CallerSessionFactory,
+        gate: CallerGate,
         state: SessionState,
         trace: TraceId,
     ) -> None:
--- a/src/sedgeshunt/adapters/request_maker.py
+++ b/src/sedgeshunt/adapters/request_maker.py
@@ -4,7 +4,7 @@
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.identifiers import GroupId, Monotonic, TraceId
 from sedgeshunt.requests.attribute_values import Attributes
-from sedgeshunt.requests.caller_session import CallerSession
+from sedgeshunt.requests.gate import CallerSession
 from sedgeshunt.requests.request import Request, StatementKind
 
 
--- a/src/sedgeshunt/proxy.py
+++ b/src/sedgeshunt/proxy.py
@@ -37,9 +37,9 @@
     ProxyReport,
     TargetConnector,
 )
-from sedgeshunt.requests.caller_session import (
+from sedgeshunt.requests.gate import (
+    CallerGate,
     CallerSession,
-    CallerSessionFactory,
 )
 from sedgeshunt.requests.handler import RefusingSession, RequestHandler
 from sedgeshunt.requests.recorder import OutcomeRecorder
@@ -49,7 +49,7 @@
 from sedgeshunt.settings import Settings
 
 
-class ProxyInstance(CallerSessionFactory, PeerService):
+class ProxyInstance(CallerGate, PeerService):
     """Serve callers, peers and operators on one instance."""
 
     def __init__(
--- a/src/sedgeshunt/requests/caller_session.py
+++ b/src/sedgeshunt/requests/gate.py
@@ -41,7 +41,7 @@
         return DEFAULT_DEADLINE
 
 
-class CallerSessionFactory(ABC):
+class CallerGate(ABC):
     """Open sessions for callers."""
 
     @abstractmethod
--- a/src/sedgeshunt/requests/handler.py
+++ b/src/sedgeshunt/requests/handler.py
@@ -7,7 +7,7 @@
 
 from sedgeshunt.clocks import read_clock
 from sedgeshunt.identifiers import GroupId, Seconds, TrafficClass
-from sedgeshunt.requests.caller_session import CallerSession
+from sedgeshunt.requests.gate import CallerSession
 from sedgeshunt.requests.group_service import GroupService
 from sedgeshunt.requests.outcome import (
     Answer,
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -34,7 +34,7 @@
 from sedgeshunt.metrics import NoMetrics
 from sedgeshunt.ports import Address, InstanceState, ListedInstance, Put
 from sedgeshunt.proxy import ProxyInstance
-from sedgeshunt.requests.caller_session import CallerSession
+from sedgeshunt.requests.gate import CallerSession
 from sedgeshunt.requests.outcome import Answer, Refusal
 from sedgeshunt.requests.request import Request
 from sedgeshunt.requests.statements import classify_statement
--- a/tests/features/driver_bench.py
+++ b/tests/features/driver_bench.py
@@ -19,9 +19,9 @@
 from sedgeshunt.adapters.callers import CallerServer
 from sedgeshunt.identifiers import GroupId, Seconds, TraceId
 from sedgeshunt.ports import Address
-from sedgeshunt.requests.caller_session import (
+from sedgeshunt.requests.gate import (
+    CallerGate,
     CallerSession,
-    CallerSessionFactory,
 )
 from sedgeshunt.requests.outcome import (
     Answer,
@@ -98,7 +98,7 @@
         self.is_open = False
 
 
-class SmallGate(CallerSessionFactory):
+class SmallGate(CallerGate):
     """Open small sessions and keep them."""
 
     def __init__(self) -> None:
