--- a/tests/features/fleet_bench.py
+++ b/tests/features/fleet_bench.py
@@ -1,4 +1,4 @@
-"""Run what proxies have of configuration and membership, in virtual time."""
+"""Run the configuration and membership parts of proxies in virtual time."""
 
 from asyncio import Task, all_tasks, create_task, gather, sleep
 from collections.abc import AsyncIterator, Coroutine, Iterable, Sequence
@@ -62,12 +62,12 @@
 
 
 class FaultyKeyValue(MemoryKeyValue):
-    """Call the stand-in, with the faults of a replicated service."""
+    """Call the stand-in, injecting the faults of a replicated service."""
 
     def __init__(self, service: KeyValueStandIn, client: Place) -> None:
         """Start without faults."""
         super().__init__(service, client)
-        # What a member that lags behind goes on showing.
+        # The listing that a lagging member keeps returning.
         self.old_listing: Listing | None = None
         self.delayed: Coroutine[Any, Any, CommitResult] | None = None
         self.delays_next = False
@@ -79,7 +79,7 @@
         *,
         may_be_old: bool = False,
     ) -> Listing:
-        """Read all pairs, from the member that lags if there is one."""
+        """Read all pairs, from the lagging member if there is one."""
         if self.old_listing is not None:
             return self.old_listing
         return await super().list_prefix(prefix)
@@ -89,7 +89,7 @@
         compares: Sequence[Compare],
         changes: Sequence[Put | Delete],
     ) -> CommitResult:
-        """Apply all or nothing, or keep it on its way for later."""
+        """Apply all or nothing, or delay the request and lose the answer."""
         if not self.delays_next:
             return await super().commit(compares, changes)
         self.delays_next = False
@@ -101,7 +101,7 @@
         prefix: str,
         after: Revision,
     ) -> AsyncIterator[Sequence[WatchEvent]]:
-        """Yield changes, two of them in the wrong order if told to."""
+        """Yield changes; swap two of them if `swaps_events` is set."""
         held: Sequence[WatchEvent] = ()
         async for events in super().watch(prefix, after):
             if self.swaps_events and not held:
@@ -115,7 +115,7 @@
 
 
 class FleetNode(PeerService):
-    """Hold what one proxy has of configuration and membership."""
+    """Hold the configuration and membership parts of one proxy."""
 
     def __init__(self, bench: 'FleetBench', proxy: Proxy) -> None:
         """Build the parts without starting them."""
@@ -170,14 +170,14 @@
         ]
 
     async def stop(self) -> None:
-        """Vanish without a word."""
+        """Stop without an announcement."""
         self._bench.peers.remove(self.address)
         for task in self._tasks:
             task.cancel()
         await gather(*self._tasks, return_exceptions=True)
 
     async def report(self) -> ProxyReport:
-        """Tell what this proxy runs with."""
+        """Return the report of this proxy."""
         return ProxyReport(
             ProxyId(self.name),
             ZoneId(self.place.zone),
@@ -187,7 +187,7 @@
         )
 
     async def report_primary(self, group: GroupId) -> PrimaryReport:
-        """Tell that the primary was heard just now."""
+        """Report that the primary answered just now."""
         return PrimaryReport(group, Term(1), TargetId('ada'), Seconds(0))
 
     async def copy_configuration(
@@ -198,11 +198,11 @@
         return self.feed.encode_copy(known)
 
     async def announce_leaving(self, name: str) -> None:
-        """Take note that an instance is leaving."""
+        """Record that an instance is leaving."""
         self.instances.note_leaving(name)
 
     async def explain(self, question: bytes) -> bytes:
-        """Repeat the question."""
+        """Return the question."""
         return question
 
     async def copy_tallies(
@@ -210,7 +210,7 @@
         since: Seconds,
         proxies: Sequence[ProxyId] = (),
     ) -> Sequence[bytes]:
-        """Have counted nothing."""
+        """Return no tallies."""
         return ()
 
     def _note_snapshot(self, snapshot: Snapshot) -> None:
@@ -266,11 +266,11 @@
         return [Group(name=GROUP), *targets, *self.proxies]
 
     def open_platform(self) -> FaultyKeyValue:
-        """Return an operator's own client of the service."""
+        """Return an operator's client of the service."""
         return FaultyKeyValue(self.service, Place('desk', 'office'))
 
     def open_registry(self, author: str) -> ConfigurationRegistry:
-        """Return the registry as an operator uses it."""
+        """Return the registry for one operator."""
         return ConfigurationRegistry(
             self.open_platform(),
             author,
--- a/tests/features/fleets.feature
+++ b/tests/features/fleets.feature
@@ -1,15 +1,15 @@
 Feature: Fleets of any size
-  In a small fleet everybody knows everybody. In a large one each instance keeps
-  in touch with those it has to do with, and few of them read replicas.
+  A small fleet is a full mesh. In a large one each instance keeps links only to
+  the instances that it needs, and few of them read replicas.
 
   Scenario Outline: Connections to a replica stay within its limit
-    Each instance finds by itself who reads a group's replicas. Together they
-    leave some connections for the owner's questions, in fleets of any size.
+    All instances compute the same readers of a group's replicas. Together the
+    readers leave some connections for the owner, in fleets of any size.
     Given <instances> instances in <zones> zones
     When replicas take <limit> connections
     Then the readers' shares sum up to at most <limit> less 4, or to 1 each
     And each zone has a reader
-    And each reader has 3 connections, or shares its zone with none
+    And each reader has 3 connections, or is the only one in its zone
 
     Examples:
       | instances | zones | limit |
@@ -25,31 +25,32 @@
       | 300       | 4     | 50    |
       | 1500      | 10    | 50    |
 
-  Scenario: An instance that leaves moves no reader of another zone
+  Scenario: An instance that leaves changes no reader of another zone
     Given 61 instances in 4 zones
     When replicas take 151 connections
     And an instance leaves
     Then readers changed in its zone only
 
-  Scenario: A fast instance reads more often
-    Fast ones are four times as fast as the others.
+  Scenario: An instance with more capacity is a reader more often
+    A third of the instances have four times the capacity of the others.
     Given 60 instances in 3 zones, a third of them fast
     When replicas of 200 groups take 34 connections
     Then the fast ones are readers 2 to 5 times as often
 
-  Scenario: A large fleet serves through few hands
-    Callers come to every proxy. Most of them forward reads to a reader of their
-    zone and the rest to the owner; no database is asked for more connections
-    than it takes, and nobody has links to all.
+  Scenario: In a large fleet few instances connect to the databases
+    Callers connect to every proxy. Most proxies forward reads to a reader of
+    their zone and other statements to the owner, so that no database gets more
+    connections than it takes and no proxy has links to all others.
     Given 18 proxies in three zones
     When callers of "admin" at every proxy write and read for 3 s
     Then every statement was done
     And no database had more than 22 connections at once
     And each proxy has links to at most 14 others
 
-  Scenario: A large fleet goes on after its owner's death
-    The owner's process is gone. Those who forward to it know the next owner by
-    the store, and have a link to it by then or ask one who has.
+  Scenario: A large fleet serves again after its owner crashed
+    The owner's process is killed. Proxies that forward to it learn the next
+    owner from the store, and have a link to it by then or relay over a proxy
+    that has one.
     Given 18 proxies in three zones
     And a caller of "settle" at "west-5" writes every 20 ms
     When the owner is killed
@@ -57,18 +58,18 @@
     Then no write was done for 0.1 to 2 s at most
     And no two proxies owned the group at once
 
-  Scenario: A reader is gone
-    Its process is killed while it answers reads of others. These are asked again
-    at the owner, and the next ones at another reader.
+  Scenario: A reader crashes
+    Its process is killed while it answers reads of other proxies. These are
+    retried at the owner, and later reads go to another reader.
     Given 18 proxies in three zones
     When a reader is killed as callers of "admin" read for 3 s
     Then at most 2 statements were not done
 
-  Scenario: Who reads nothing asks owners rarely
-    Log ends prove how old a replica's data is; only those who read there need
-    them. Asked for by everybody twice a second, they were most of the bytes
-    between zones in a fleet of 195.
+  Scenario: Proxies that read no replicas send owners few heartbeats
+    Log ends bound the age of a replica's data, so only readers need them often.
+    If every proxy asked for them twice a second, they would be most of the
+    traffic between zones in a fleet of 195.
     Given 24 proxies in three zones
     When the owner's heartbeats are counted for 5 s
-    Then readers asked it at least 1.8 times a second
-    And those that neither read nor may own asked it at most 1.2 times a second
+    Then readers sent at least 1.8 a second
+    And proxies that neither read nor may own sent at most 1.2 a second
--- a/tests/features/steps/fleets_steps.py
+++ b/tests/features/steps/fleets_steps.py
@@ -1,4 +1,4 @@
-"""Check what instances do in fleets of all sizes."""
+"""Check readers, links and heartbeats in fleets of all sizes."""
 
 from asyncio import gather, sleep
 from collections import Counter
@@ -21,9 +21,9 @@
 from tests.features.node_bench import GROUP, ZONES, NodeBench
 from tests.features.node_callers import open_bench
 
-# How often connections are counted and callers act, in seconds.
-LOOK_EVERY = 0.005
-PAUSE = 0.05
+# Seconds between counts of connections, and between a caller's statements.
+COUNT_INTERVAL = 0.005
+CALLER_PAUSE = 0.05
 
 
 @given('{count:d} instances in {zones:d} zones')
@@ -80,8 +80,8 @@
     assert reading == zones
 
 
-@then('each reader has 3 connections, or shares its zone with none')
-def check_hands(context: Any) -> None:
+@then('each reader has 3 connections, or is the only one in its zone')
+def check_shares(context: Any) -> None:
     found: ReaderPlan = context.plan
     zones = Counter(
         one.zone for one in context.instances if one.name in found.list_names()
@@ -179,7 +179,7 @@
 
 
 @when("the owner's heartbeats are counted for {seconds:g} s")
-def count_beats(context: Any, seconds: float) -> None:
+def count_heartbeats(context: Any, seconds: float) -> None:
     bench: NodeBench = context.nodes
     heard: Counter[tuple[str, str]] = Counter()
     answer = Heartbeats.answer
@@ -200,18 +200,17 @@
     }
 
 
-@then('readers asked it at least {least:g} times a second')
-def check_reader_beats(context: Any, least: float) -> None:
+@then('readers sent at least {least:g} a second')
+def check_reader_heartbeats(context: Any, least: float) -> None:
     rates = _list_rates(context, is_reading=True)
     assert rates
     assert min(rates) >= least, rates
 
 
 @then(
-    'those that neither read nor may own asked it at most {most:g} times a'
-    + ' second',
+    'proxies that neither read nor may own sent at most {most:g} a' + ' second',
 )
-def check_other_beats(context: Any, most: float) -> None:
+def check_other_heartbeats(context: Any, most: float) -> None:
     rates = _list_rates(context, is_reading=False)
     assert rates
     assert max(rates) <= most, rates
@@ -227,7 +226,7 @@
 
 
 def _reads_only(node: Any) -> tuple[bool, bool]:
-    """Tell whether a proxy reads replicas, and whether it may own a group."""
+    """Return whether a proxy reads replicas, and whether it may own a group."""
     return (
         _find_reader(node).is_able(),
         node.service.find_lease().is_short(),
@@ -251,14 +250,14 @@
         while read_clock() < until:
             for text in texts:
                 await context.callers.ask(session, text)
-            await sleep(PAUSE)
+            await sleep(CALLER_PAUSE)
 
     async def count() -> None:
         while read_clock() < until:
             for target in bench.group.targets.values():
                 known = context.most[target.name]
                 context.most[target.name] = max(known, target.connections)
-            await sleep(LOOK_EVERY)
+            await sleep(COUNT_INTERVAL)
 
     async def kill() -> None:
         await sleep(seconds / 2)
@@ -272,12 +271,12 @@
 
 
 def read_clock_of(bench: NodeBench) -> float:
-    """Return the bench's own time."""
+    """Return the virtual time of the bench."""
     return bench.time.read_now()
 
 
 def _find_share(found: ReaderPlan) -> int:
-    # Without customers the zones make no difference.
+    # Without customers, the shares do not depend on the zones.
     zone = next(iter(found.readers))
     return found.find_share(zone, zone).connections
 
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Check what proxies know of instances and of each other."""
+"""Check which instances and peers the proxies count as live."""
 
 from asyncio import sleep
 from collections import Counter
@@ -43,7 +43,7 @@
     context.bench.wait(seconds)
 
 
-@when('the list is down for {seconds:g} seconds')
+@when('the list is unreachable for {seconds:g} seconds')
 def stop_list(context: Any, seconds: float) -> None:
     context.bench.instances.down = True
     context.bench.wait(seconds)
@@ -77,7 +77,7 @@
     )
 
 
-@when('peer "{name}" says that it stops, and stops')
+@when('peer "{name}" announces that it stops, and stops')
 def stop_proxy(context: Any, name: str) -> None:
     node = context.bench.nodes[name]
     node.stopping = True
@@ -86,13 +86,13 @@
     context.bench.run(node.stop())
 
 
-@when('peer "{name}" dies')
+@when('peer "{name}" crashes')
 def kill_proxy(context: Any, name: str) -> None:
     context.announcer = name
     context.bench.run(context.bench.nodes[name].stop())
 
 
-@when('peer "{name}" starts anew')
+@when('peer "{name}" restarts')
 def restart_proxy(context: Any, name: str) -> None:
     bench = context.bench
     proxy = next(one for one in bench.proxies if one.name == name)
@@ -101,7 +101,7 @@
 
 @then('the other proxies count "{name}" as {state} within {limit:g} seconds')
 def check_counted(context: Any, name: str, state: str, limit: float) -> None:
-    assert state in {'live', 'gone'}
+    assert state in {'live', 'lost'}
     context.bench.wait_until(
         lambda: all(
             (ProxyId(name) in node.roster.list_live_proxies())
@@ -112,12 +112,12 @@
     )
 
 
-@when('the peers in "{one}" and "{other}" are cut off from each other')
+@when('the peers in "{one}" and "{other}" are partitioned from each other')
 def cut_zones(context: Any, one: str, other: str) -> None:
     context.bench.network.cut(one, other)
 
 
-@when('the peers in both zones are joined again')
+@when('the partition of the peers is healed')
 def join_zones(context: Any) -> None:
     context.bench.network.heal()
 
@@ -143,7 +143,7 @@
 
 
 @then(
-    'proxy "{name}" hears of the primary from {count:d} peers '
+    'proxy "{name}" gets primary reports from {count:d} peers '
     'within {limit:g} seconds',
 )
 def check_panel(context: Any, name: str, count: int, limit: float) -> None:
@@ -155,7 +155,7 @@
     assert {report.group for report in reports} == {GROUP}
 
 
-@when('a peer answers the first question late and the second at once')
+@when('a peer answers the first call late and the second at once')
 def ask_twice(context: Any) -> None:
     context.bench = FleetBench()
     context.add_cleanup(context.bench.close)
@@ -165,7 +165,7 @@
 
 @then('the second answer comes over a new connection')
 def check_new_connection(context: Any) -> None:
-    assert context.answers == ['gave up', 'second'], context.answers
+    assert context.answers == ['timed out', 'second'], context.answers
     assert len(set(context.connections)) == 2
 
 
@@ -181,7 +181,7 @@
     ]
 
 
-@then('it asks {count:d} of them regularly, {near:d} in its own zone')
+@then('it polls {count:d} of them regularly, {near:d} in its own zone')
 def check_regular(context: Any, count: int, near: int) -> None:
     context.chosen = choose(context.known)
     assert len(context.chosen) == count
@@ -189,14 +189,14 @@
     assert zones.count(ZoneId('east')) == near
 
 
-@then('it changes {count:d} of them at most when one of the 300 goes')
+@then('at most {count:d} of them changes when one of the 300 is removed')
 def check_steady(context: Any, count: int) -> None:
     for gone in context.known:
         left = [peer for peer in context.known if peer is not gone]
         assert len(set(choose(left)) - set(context.chosen)) <= count
 
 
-@then('none of them is asked by more than {count:d} others')
+@then('none of them is polled by more than {count:d} others')
 def check_spread(context: Any, count: int) -> None:
     asked = Counter(
         peer.label
@@ -252,7 +252,7 @@
 async def _ask_late_and_again(context: Any) -> list[str]:
     node = await context.bench.start_node(context.bench.proxies[0])
     desk = Place('desk', 'east')
-    link = PeerClient(
+    client = PeerClient(
         node.address,
         MemoryPeerConnector(context.bench.peers, desk),
         lambda report: None,
@@ -266,8 +266,8 @@
 
     answers = []
     try:
-        await link.call(lambda open_one: ask(open_one, 'first'), Seconds(0.5))
+        await client.call(lambda open_one: ask(open_one, 'first'), Seconds(0.5))
     except PeerUnreachable:
-        answers.append('gave up')
-    answers.append(await link.call(lambda open_one: ask(open_one, 'second')))
+        answers.append('timed out')
+    answers.append(await client.call(lambda open_one: ask(open_one, 'second')))
     return answers
--- a/tests/standins/peers.py
+++ b/tests/standins/peers.py
@@ -19,36 +19,36 @@
 
 
 class PeerService(Protocol):
-    """Answer other proxies; a proxy's own peer service does."""
+    """Answer other proxies, as a proxy's own peer service does."""
 
     async def report(self) -> ProxyReport:
-        """Tell what the proxy runs with."""
+        """Return the proxy's report."""
 
     async def report_primary(self, group: GroupId) -> PrimaryReport:
-        """Tell when the proxy heard the primary."""
+        """Return when the primary last answered the proxy."""
 
     async def copy_configuration(
         self,
         known: Revision,
     ) -> ConfigurationCopy | None:
-        """Return a newer configuration than `known`."""
+        """Return a configuration newer than `known`."""
 
     async def announce_leaving(self, name: str) -> None:
-        """Hear that an instance is leaving."""
+        """Record that an instance is leaving."""
 
     async def explain(self, question: bytes) -> bytes:
-        """Tell how the proxy would route."""
+        """Explain how the proxy would route."""
 
     async def copy_tallies(
         self,
         since: Seconds,
         proxies: Sequence[ProxyId] = (),
     ) -> Sequence[bytes]:
-        """Return counts and copies."""
+        """Return tallies and copies of tallies."""
 
 
 class MemoryPeers:
-    """Know which proxy listens at which address."""
+    """Map addresses to the proxies that listen there."""
 
     def __init__(self, network: Network | None = None) -> None:
         """Start with no proxy."""
@@ -56,7 +56,7 @@
         self._services: dict[Address, tuple[Place, PeerService]] = {}
 
     def add(self, address: Address, place: Place, service: PeerService) -> None:
-        """Let the proxy at `place` listen at `address`."""
+        """Register the proxy at `place` as listening at `address`."""
         self._services[address] = (place, service)
 
     def remove(self, address: Address) -> None:
@@ -69,7 +69,7 @@
         address: Address,
         action: Callable[[PeerService], Awaitable[Value]],
     ) -> Value:
-        """Run `action` at a proxy; hang in a cut until cancelled."""
+        """Run `action` at a proxy; hang in a partition until cancelled."""
         place, _ = self._find(address)
         await self.network.cross(caller, place)
         answer = await action(self._find(address)[1])
@@ -86,7 +86,7 @@
 
 
 class MemoryPeerConnection(PeerConnection):
-    """Call one proxy through the registry."""
+    """Call one proxy in memory."""
 
     def __init__(self, peers: MemoryPeers, caller: Place, address: Address):
         """Call the proxy at `address` as `caller`."""
@@ -95,22 +95,22 @@
         self._address = address
 
     async def report(self) -> ProxyReport:
-        """Ask what the proxy runs with."""
+        """Ask for the proxy's report."""
         return await self.call(lambda peer: peer.report())
 
     async def report_primary(self, group: GroupId) -> PrimaryReport:
-        """Ask when the proxy heard the primary."""
+        """Ask when the primary last answered the proxy."""
         return await self.call(lambda peer: peer.report_primary(group))
 
     async def copy_configuration(
         self,
         known: Revision,
     ) -> ConfigurationCopy | None:
-        """Ask for a newer configuration than `known`."""
+        """Ask for a configuration newer than `known`."""
         return await self.call(lambda peer: peer.copy_configuration(known))
 
     async def announce_leaving(self, name: str) -> None:
-        """Tell the proxy that an instance is leaving."""
+        """Announce to the proxy that an instance is leaving."""
         await self.call(lambda peer: peer.announce_leaving(name))
 
     async def explain(self, question: bytes) -> bytes:
@@ -122,11 +122,11 @@
         since: Seconds,
         proxies: Sequence[ProxyId] = (),
     ) -> Sequence[bytes]:
-        """Ask for counts and copies."""
+        """Ask for tallies and copies of tallies."""
         return await self.call(lambda peer: peer.copy_tallies(since, proxies))
 
     async def close(self) -> None:
-        """Hold nothing that needs closing."""
+        """Do nothing, as there is no connection to close."""
 
     async def call(
         self,
@@ -137,7 +137,7 @@
 
 
 class MemoryPeerConnector(PeerConnector):
-    """Open connections as one proxy."""
+    """Open connections on behalf of one proxy."""
 
     def __init__(self, peers: MemoryPeers, caller: Place) -> None:
         """Connect from `caller`."""
