--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Check that configuration comes into force and never reverts."""
+"""Check that configuration changes are applied and never reverted."""
 
 from asyncio import gather
 from typing import Any
@@ -44,7 +44,7 @@
 
 ADA = ObjectKey(ObjectKind.TARGET, 'ada')
 BOB = ObjectKey(ObjectKind.TARGET, 'bob')
-# An operator's change reads the objects and the ids of the kept changes.
+# A change reads the objects and the ids of the retained changes.
 OPERATOR_LISTINGS = 2
 CYD = ObjectKey(ObjectKind.TARGET, 'cyd')
 
@@ -66,17 +66,21 @@
     context.read = read_documents([OperatorFile('objects', context.text)])
 
 
-@then("the file's faults are")
-def check_faults(context: Any) -> None:
-    faults = sorted(context.read.unwrap_err())
+@then("the file's problems are")
+def check_file_problems(context: Any) -> None:
+    problems = sorted(context.read.unwrap_err())
     for row in context.table:
-        place, fault = f'{row["place"]}:', row['fault']
-        found = [line for line in faults if line.startswith(place)]
-        assert any(fault in line for line in found), (place, fault, faults)
+        location, problem = f'{row["location"]}:', row['problem']
+        found = [line for line in problems if line.startswith(location)]
+        assert any(problem in line for line in found), (
+            location,
+            problem,
+            problems,
+        )
 
 
-@when('the objects go through an operator file and through JSON')
-def pass_through(context: Any) -> None:
+@when('the objects are written to an operator file and to JSON and read')
+def round_trip(context: Any) -> None:
     objects = [*FleetBench().list_objects(), make_route('r')]
     text = write_document(objects, Revision(7))
     document = read_documents([OperatorFile('objects', text)]).unwrap()
@@ -87,8 +91,8 @@
     ]
 
 
-@then('the objects come back as they were')
-def check_same(context: Any) -> None:
+@then('the objects are unchanged')
+def check_unchanged(context: Any) -> None:
     assert context.after == [context.before, context.before]
 
 
@@ -106,7 +110,7 @@
     context.problems = check_objects(build_snapshot(Revision(1), changed))
 
 
-@then('the check names "{problem}"')
+@then('the check reports "{problem}"')
 def check_problem(context: Any, problem: str) -> None:
     described = [found.describe() for found in context.problems]
     assert any(problem in line for line in described), described
@@ -129,11 +133,17 @@
 
 
 @when(
-    '"{one}" labels target "{near}" and "{other}" labels "{far}" '
-    'at the same time',
+    '"{one}" labels target "{one_target}" and "{other}" labels '
+    '"{other_target}" at the same time',
 )
-def label_two(context: Any, one: str, near: str, other: str, far: str) -> None:
-    context.results = race(context, (one, near), (other, far))
+def label_two(
+    context: Any,
+    one: str,
+    one_target: str,
+    other: str,
+    other_target: str,
+) -> None:
+    context.results = race(context, (one, one_target), (other, other_target))
 
 
 @then('one change is refused as a conflict that names the other')
@@ -165,7 +175,7 @@
 
 
 @then('one change is refused as invalid and the address is declared once')
-def check_skew(context: Any) -> None:
+def check_duplicate_address(context: Any) -> None:
     invalid, _ = split(context.results, ObjectsInvalid)
     assert 'belongs to' in str(invalid)
     targets = read_snapshot(context).targets.values()
@@ -242,7 +252,7 @@
 def restart_lagging(context: Any) -> None:
     bench = context.bench
     node = bench.nodes['p0']
-    # Both stay as they were before the change that the proxy has by now.
+    # The member's listing predates the change that the proxy has applied.
     old = bench.run(node.platform.list_prefix(OBJECTS_PREFIX))
     context.revision = change_label(context, 'first')
     bench.wait(1)
@@ -256,7 +266,7 @@
 
 
 @then('the proxy keeps its revision and logs the refusal')
-def check_refused(context: Any) -> None:
+def check_refusal(context: Any) -> None:
     node = context.bench.nodes['p0']
     assert node.revision == context.revision
     refused = node.decisions.list_decisions(DecisionKind.CONFIGURATION_REFUSED)
@@ -279,8 +289,8 @@
     )
 
 
-@then('no proxy ever went back')
-def check_upwards(context: Any) -> None:
+@then('no proxy reverted a change')
+def check_not_reverted(context: Any) -> None:
     for node in context.bench.nodes.values():
         assert node.applied == sorted(node.applied), node.applied
 
@@ -293,7 +303,7 @@
 
 
 @then('the proxy has both changes within {limit:g} seconds')
-def check_both_in_force(context: Any, limit: float) -> None:
+def check_both_applied(context: Any, limit: float) -> None:
     feed = context.bench.nodes['p0'].feed
     context.bench.wait_until(
         lambda: (
--- a/tests/features/steps/specs_steps.py
+++ b/tests/features/steps/specs_steps.py
@@ -20,7 +20,7 @@
 from tests.specs.acknowledgement_spec import specify_acknowledgement
 from tests.specs.checking import always_reaches, explore, refute
 from tests.specs.configuration_spec import (
-    is_in_force_everywhere,
+    is_active_everywhere,
     specify_configuration,
 )
 from tests.specs.operators_spec import specify_operators
@@ -164,4 +164,4 @@
 
 @then('the specification "{name}" can always reach its goal')
 def check_reach(context: Any, name: str) -> None:
-    assert always_reaches(SPECIFICATIONS[name], is_in_force_everywhere)
+    assert always_reaches(SPECIFICATIONS[name], is_active_everywhere)
--- a/tests/specs/configuration_spec.py
+++ b/tests/specs/configuration_spec.py
@@ -1,4 +1,4 @@
-"""Specify how proxies bring the newest configuration into force."""
+"""Specify how proxies apply the newest configuration."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -7,27 +7,27 @@
 from tests.specs.checking import Specification
 
 CHANGES = 3
-# Changes write these keys in turn.
+# Changes write this number of keys in rotation.
 KEYS = 2
 
-# The change that wrote each key last, 0 before any.
+# The last change to each key, 0 before any.
 Content = tuple[int, ...]
-NOTHING: Content = (0,) * KEYS
+EMPTY: Content = (0,) * KEYS
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """List the safeguards that can be removed."""
 
     NEWER_LISTINGS = 'a listing that is older is refused'
     NEWER_COPIES = "a peer's copy that is not newer is refused"
     NEWER_EVENTS = 'events below what is in force are passed over'
     LIST_AGAIN = 'a watch that goes backwards is replaced by a listing'
-    # Promised by the service; the proxies rely on it.
+    # Guaranteed by the store; the proxies rely on it.
     ORDERED_WATCH = 'a watch leaves out no change between two others'
 
 
 class Proxy(NamedTuple):
-    """Hold what one proxy has in force and how far it has read."""
+    """Hold one proxy's active configuration and its position in the log."""
 
     revision: int
     content: Content
@@ -36,11 +36,11 @@
 
 
 class State(NamedTuple):
-    """Hold the store's revision, the proxies, and whether one went back."""
+    """Hold the store's revision, the proxies, and whether one reverted."""
 
     head: int
     proxies: tuple[Proxy, ...]
-    went_back: bool
+    reverted: bool
 
 
 Step = tuple[str, State]
@@ -48,49 +48,49 @@
 
 def specify_configuration(removed: Safeguard | None = None) -> Specification:
     """Return a store, its watches and listings, and two proxies."""
-    first = Proxy(0, NOTHING, 0, must_list=False)
+    first = Proxy(0, EMPTY, 0, must_list=False)
     return Specification(
         'configuration',
         State._fields,
-        State(0, (first, first), went_back=False),
+        State(0, (first, first), reverted=False),
         _ProxySteps(removed).list_steps,
         {
-            'an accepted change is never reverted': _never_goes_back,
+            'an accepted change is never reverted': _never_reverts,
             'what is in force is whole': _is_whole,
         },
     )
 
 
-def is_in_force_everywhere(fields: dict[str, Any]) -> bool:
-    """Tell whether all proxies hold all changes."""
-    last = write_content(CHANGES)
+def is_active_everywhere(fields: dict[str, Any]) -> bool:
+    """Return whether all proxies have all changes."""
+    last = compute_content(CHANGES)
     return all(proxy.content == last for proxy in fields['proxies'])
 
 
-def write_content(revision: int) -> Content:
-    """Return what the changes up to `revision` leave behind."""
-    content = NOTHING
+def compute_content(revision: int) -> Content:
+    """Return the content after the changes up to `revision`."""
+    content = EMPTY
     for change in range(1, revision + 1):
         content = _apply(content, change)
     return content
 
 
-def _never_goes_back(fields: dict[str, Any]) -> bool:
-    return not fields['went_back']
+def _never_reverts(fields: dict[str, Any]) -> bool:
+    return not fields['reverted']
 
 
 def _is_whole(fields: dict[str, Any]) -> bool:
     return all(
-        proxy.content == write_content(proxy.revision)
+        proxy.content == compute_content(proxy.revision)
         for proxy in fields['proxies']
     )
 
 
 class _ProxySteps:
-    """List what store, watches and peers may do next."""
+    """List the possible next steps of store, watches and peers."""
 
-    # A service that is down, a watch that hangs and a proxy that is frozen
-    # or cut off are steps that do not happen.
+    # An outage of the store, a hanging watch, and a frozen or partitioned
+    # proxy are modelled as steps that do not happen.
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
@@ -107,7 +107,7 @@
                 *self._list_copies(proxy, state.proxies[1 - index]),
             ]
             steps.extend(
-                (f'{index} {label}', _put(state, index, after))
+                (f'{index} {label}', _replace_proxy(state, index, after))
                 for label, after in followed
             )
         return steps
@@ -119,17 +119,17 @@
     ) -> Iterator[tuple[str, Proxy]]:
         if proxy.must_list:
             return
-        yield 'starts its watch anew', _restart(proxy)
-        # A restarted watch may land on a member that sends old events again,
-        # or says that it no longer keeps them.
+        yield 'restarts its watch', _restart(proxy)
+        # A restarted watch may connect to a member that resends old events
+        # or reports that it has compacted them.
         for change in range(1, head + 1):
             is_next = change == proxy.read_up_to + 1
             if change <= proxy.read_up_to:
-                yield f'gets {change} late', self._take_late(proxy, change)
+                yield f'gets {change} late', self._receive_late(proxy, change)
             elif is_next or self._removed is Safeguard.ORDERED_WATCH:
-                yield f'gets {change}', self._take(proxy, change)
+                yield f'gets {change}', self._receive(proxy, change)
 
-    def _take(self, proxy: Proxy, change: int) -> Proxy:
+    def _receive(self, proxy: Proxy, change: int) -> Proxy:
         after = proxy._replace(read_up_to=change)
         is_newer = change > proxy.revision
         if not is_newer and self._removed is not Safeguard.NEWER_EVENTS:
@@ -139,7 +139,7 @@
             content=_apply(proxy.content, change),
         )
 
-    def _take_late(self, proxy: Proxy, change: int) -> Proxy:
+    def _receive_late(self, proxy: Proxy, change: int) -> Proxy:
         if self._removed is Safeguard.LIST_AGAIN:
             return proxy._replace(content=_apply(proxy.content, change))
         return proxy._replace(must_list=True)
@@ -150,12 +150,12 @@
         head: int,
     ) -> Iterator[tuple[str, Proxy]]:
         known = max(proxy.read_up_to, proxy.revision)
-        is_lax = self._removed is Safeguard.NEWER_LISTINGS
-        # A member of the service that lags lists an older state.
-        for listed in range(0 if is_lax else known, head + 1):
+        accepts_older = self._removed is Safeguard.NEWER_LISTINGS
+        # A lagging member of the store lists an older state.
+        for listed in range(0 if accepts_older else known, head + 1):
             yield (
                 f'lists up to {listed}',
-                Proxy(listed, write_content(listed), listed, must_list=False),
+                Proxy(listed, compute_content(listed), listed, must_list=False),
             )
 
     def _list_copies(
@@ -181,13 +181,13 @@
     return (*content[:key], change, *content[key + 1 :])
 
 
-def _put(state: State, index: int, after: Proxy) -> State:
+def _replace_proxy(state: State, index: int, after: Proxy) -> State:
     before = state.proxies[index]
     lost = any(
         new < old
         for new, old in zip(after.content, before.content, strict=True)
     )
-    went_back = lost or after.revision < before.revision
+    reverted = lost or after.revision < before.revision
     proxies = list(state.proxies)
     proxies[index] = after
-    return State(state.head, tuple(proxies), state.went_back or went_back)
+    return State(state.head, tuple(proxies), state.reverted or reverted)
--- a/tests/specs/operators_spec.py
+++ b/tests/specs/operators_spec.py
@@ -1,4 +1,4 @@
-"""Specify how rival operators change the store through lost answers."""
+"""Specify concurrent changes to the store when answers are lost."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -7,12 +7,12 @@
 from tests.specs.checking import Specification
 
 ATTEMPTS = 2
-# Copies of one request that may be under way at the same time.
+# Copies of one request that can be in flight at the same time.
 COPIES = 2
 
 
 class Safeguard(Enum):
-    """Name the safeguards that can be taken out."""
+    """List the safeguards that can be removed."""
 
     COMPARE = 'a commit demands the head that its author has read'
     READ_BACK = 'a lost answer is looked up before a new attempt'
@@ -20,22 +20,22 @@
 
 
 class Phase(Enum):
-    """Tell how far an operator has got with an attempt."""
+    """List the phases of an operator's attempt."""
 
     IDLE = 0
-    # The first answer is awaited.
+    # Waiting for the first answer.
     SENT = 1
     # An answer was lost: the change may have taken effect.
-    UNSURE = 2
-    # Sent the same again after a lost answer.
+    UNKNOWN = 2
+    # The same request was resent after a lost answer.
     REPEATED = 3
     DONE = 4
-    # Told that the attempt did not take effect and never will.
+    # The attempt did not take effect and cannot take effect later.
     REFUSED = 5
 
 
 class Attempt(NamedTuple):
-    """Name one transaction: its author and number, and the head it read."""
+    """Identify one transaction by author, number and the head it read."""
 
     operator: int
     number: int
@@ -43,20 +43,20 @@
 
 
 class Operator(NamedTuple):
-    """Hold what one operator knows."""
+    """Hold the state of one operator."""
 
     phase: Phase
     attempt: Attempt
 
 
 class State(NamedTuple):
-    """Hold the store's commits, the requests under way, the operators."""
+    """Hold the store's commits, the requests in flight, the operators."""
 
     commits: tuple[Attempt, ...]
     # One entry for each copy that was sent and has not arrived.
-    under_way: tuple[Attempt, ...]
+    in_flight: tuple[Attempt, ...]
     operators: tuple[Operator, ...]
-    # Attempts whose authors were told that they did not take effect.
+    # Attempts reported to their authors as not having taken effect.
     refused: frozenset[Attempt]
 
 
@@ -64,7 +64,7 @@
 
 
 def specify_operators(removed: Safeguard | None = None) -> Specification:
-    """Return two operators who each want one change made once."""
+    """Return two operators who each make one change, exactly once."""
     operators = tuple(
         Operator(Phase.IDLE, Attempt(number, 0, 0)) for number in range(2)
     )
@@ -105,7 +105,7 @@
 
 
 class _OperatorSteps:
-    """List what operators, network and store may do next."""
+    """List the possible next steps of operators, network and store."""
 
     def __init__(self, removed: Safeguard | None) -> None:
         self._removed = removed
@@ -121,17 +121,17 @@
         ]
 
     def _list_arrivals(self, state: State) -> Iterator[Step]:
-        # A request may come late, also after its author has given it up.
-        for attempt in set(state.under_way):
+        # A request can arrive late, even after its author gave up on it.
+        for attempt in set(state.in_flight):
             is_free = attempt.base == len(state.commits)
             if self._removed is Safeguard.COMPARE:
                 is_free = attempt not in state.commits
             after = _arrive(state, attempt, is_free)
-            verb = 'takes effect' if is_free else 'is compared in vain'
+            verb = 'takes effect' if is_free else 'fails its compare'
             yield f'{attempt.operator} {verb}, answer lost', after
-            yield from self._answer(after, attempt, is_free)
+            yield from self._list_answers(after, attempt, is_free)
 
-    def _answer(
+    def _list_answers(
         self,
         state: State,
         attempt: Attempt,
@@ -143,14 +143,17 @@
             return
         is_waiting = operator.phase in {Phase.SENT, Phase.REPEATED}
         if is_free and is_waiting:
-            yield f'{index} hears of success', _go(state, index, Phase.DONE)
+            yield (
+                f'{index} gets a success',
+                _set_phase(state, index, Phase.DONE),
+            )
         if not is_free and operator.phase is Phase.SENT:
             yield f'{index} is refused', _refuse(state, index)
         if not is_free and operator.phase is Phase.REPEATED:
-            # Refused after a repeat: the record tells whether the first copy
-            # took effect, and no other copy ever will.
+            # Refused after a retry: the record shows whether the first copy
+            # took effect, and no other copy can take effect later.
             found = attempt in state.commits
-            after = _go(state, index, Phase.DONE)
+            after = _set_phase(state, index, Phase.DONE)
             yield (
                 f'{index} looks the change up',
                 after if found else _refuse(state, index),
@@ -162,41 +165,41 @@
         if operator.phase in {Phase.IDLE, Phase.REFUSED} and may_try:
             yield f'{index} reads and sends', _send(state, index)
         if operator.phase in {Phase.SENT, Phase.REPEATED}:
-            yield f'{index} waits in vain', _go(state, index, Phase.UNSURE)
-        if operator.phase is Phase.UNSURE:
-            yield from self._list_settlements(state, index)
+            yield f'{index} times out', _set_phase(state, index, Phase.UNKNOWN)
+        if operator.phase is Phase.UNKNOWN:
+            yield from self._list_resolutions(state, index)
 
-    def _list_settlements(self, state: State, index: int) -> Iterator[Step]:
+    def _list_resolutions(self, state: State, index: int) -> Iterator[Step]:
         attempt = state.operators[index].attempt
         if self._removed is Safeguard.READ_BACK:
             if attempt.number < ATTEMPTS:
-                yield f'{index} tries anew', _send(state, index)
+                yield f'{index} starts a new attempt', _send(state, index)
             return
         if attempt in state.commits:
-            yield f'{index} finds it', _go(state, index, Phase.DONE)
+            yield f'{index} finds it', _set_phase(state, index, Phase.DONE)
         elif self._removed is Safeguard.SAME_AGAIN:
             yield f'{index} does not find it', _refuse(state, index)
-        elif state.under_way.count(attempt) < COPIES:
-            repeated = _go(state, index, Phase.REPEATED)
-            under_way = _sort(*state.under_way, attempt)
-            after = repeated._replace(under_way=under_way)
+        elif state.in_flight.count(attempt) < COPIES:
+            repeated = _set_phase(state, index, Phase.REPEATED)
+            in_flight = _sort(*state.in_flight, attempt)
+            after = repeated._replace(in_flight=in_flight)
             yield f'{index} sends it again', after
 
 
 def _arrive(state: State, attempt: Attempt, is_free: bool) -> State:
-    under_way = list(state.under_way)
-    under_way.remove(attempt)
+    in_flight = list(state.in_flight)
+    in_flight.remove(attempt)
     commits = state.commits
     if is_free:
         commits = (*commits, attempt)
-    return state._replace(commits=commits, under_way=tuple(under_way))
+    return state._replace(commits=commits, in_flight=tuple(in_flight))
 
 
 def _sort(*attempts: Attempt) -> tuple[Attempt, ...]:
     return tuple(sorted(attempts))
 
 
-def _go(state: State, index: int, phase: Phase) -> State:
+def _set_phase(state: State, index: int, phase: Phase) -> State:
     operators = list(state.operators)
     operators[index] = operators[index]._replace(phase=phase)
     return state._replace(operators=tuple(operators))
@@ -204,7 +207,7 @@
 
 def _refuse(state: State, index: int) -> State:
     refused = state.refused | {state.operators[index].attempt}
-    return _go(state, index, Phase.REFUSED)._replace(refused=refused)
+    return _set_phase(state, index, Phase.REFUSED)._replace(refused=refused)
 
 
 def _send(state: State, index: int) -> State:
@@ -214,5 +217,5 @@
     operators[index] = Operator(Phase.SENT, attempt)
     return state._replace(
         operators=tuple(operators),
-        under_way=_sort(*state.under_way, attempt),
+        in_flight=_sort(*state.in_flight, attempt),
     )
